--- a/crates/moleroad_dispatch/benches/choose.rs
+++ b/crates/moleroad_dispatch/benches/choose.rs
@@ -15,7 +15,7 @@
         id: TargetId::new(format!("target-{number}")),
         address: "127.0.0.1:9000".parse().expect("an address"),
         slots: 12,
-        most_own: 12,
+        max_own: 12,
         share: 4,
         distance: if region == REGIONS[0] {
             Distance::SameRegion
@@ -57,11 +57,11 @@
         ("three regions", named(3)),
     ];
     for (name, regions) in sets {
-        let needs = Needs {
+        let needs = Requirements {
             least: Some(1),
             prompt_tokens: 900,
             regions: Some(&regions),
-            ..Needs::default()
+            ..Requirements::default()
         };
         c.bench_function(&format!("choose among {TARGETS} targets, {name}"), |b| {
             b.iter(|| targets.choose(Millis(10_000), black_box(needs), 7));
--- a/crates/moleroad_dispatch/benches/grant.rs
+++ b/crates/moleroad_dispatch/benches/grant.rs
@@ -14,7 +14,7 @@
         let mut at = 0;
         b.iter(|| {
             at += 1;
-            bucket.set_terms(Millis(at), black_box(bound).terms().expect("terms"));
+            bucket.set_params(Millis(at), black_box(bound).terms().expect("terms"));
             black_box(bucket.take(Millis(at)))
         });
     });
--- a/crates/moleroad_dispatch/src/admission.rs
+++ b/crates/moleroad_dispatch/src/admission.rs
@@ -1,9 +1,9 @@
 //! How a request may go to a target that may be cold, or that named a limit.
 
-use crate::candidate::{Candidate, Needs};
+use crate::candidate::{Candidate, Requirements};
 use crate::cold::Admission;
 use crate::eligibility::barrier;
-use crate::limit::limit_terms;
+use crate::limit::limit_bucket_params;
 use crate::targets::Targets;
 use moleroad_directory::prelude::TargetId;
 use moleroad_types::prelude::Millis;
@@ -14,9 +14,9 @@
 
 impl Targets {
     /// Takes that the agent beside a target counts it as cold.
-    pub fn agent_says_cold(&mut self, id: &TargetId, until: Millis) {
+    pub fn agent_reported_cold(&mut self, id: &TargetId, until: Millis) {
         let load = self.loads.entry(id.clone()).or_default();
-        load.agent_says_cold(until);
+        load.agent_reported_cold(until);
     }
 
     /// Until when a target counts as cold; `None` while it does not.
@@ -37,24 +37,24 @@
 
     fn admission_while_cold(&self, now: Millis, candidate: &Candidate) -> Admission {
         let Some(cold) = candidate.cold.as_deref() else {
-            return Admission::Free;
+            return Admission::Unrestricted;
         };
         if self.cold_until(now, candidate).is_none() {
-            return Admission::Free;
+            return Admission::Unrestricted;
         }
-        if cold.by_grant {
+        if cold.requires_grant {
             // An agent that is not heard of may grant to other entries.
             return match candidate.agent {
                 Some(_) => Admission::Grant,
-                None => Admission::Closed,
+                None => Admission::Denied,
             };
         }
         let sends = self.sends.get(&candidate.id);
         let has_room = sends.is_none_or(|sends| sends.has_room(now, cold.part));
-        if cold.part > 0 && now >= cold.part_from && has_room {
-            Admission::Part
+        if cold.part > 0 && now >= cold.quota_from && has_room {
+            Admission::Quota
         } else {
-            Admission::Closed
+            Admission::Denied
         }
     }
 
@@ -80,10 +80,10 @@
             return true;
         }
         let is_by_grant =
-            |candidate: &Candidate| candidate.cold.as_deref().map(|cold| cold.by_grant);
+            |candidate: &Candidate| candidate.cold.as_deref().map(|cold| cold.requires_grant);
         // Room is not looked at again: this send is counted toward the part already.
         let is_open = match known.cold.as_deref() {
-            Some(cold) if !cold.by_grant => cold.part > 0 && now >= cold.part_from,
+            Some(cold) if !cold.requires_grant => cold.part > 0 && now >= cold.quota_from,
             _ => self.admission(now, known) == Admission::Grant,
         };
         is_by_grant(chosen) == is_by_grant(known) && is_open
@@ -103,7 +103,7 @@
         let named = candidate
             .limit
             .as_deref()
-            .map(|limit| limit_terms(limit.rate).per_s);
+            .map(|limit| limit_bucket_params(limit.rate).per_s);
         [while_cold, named]
             .into_iter()
             .flatten()
@@ -112,7 +112,7 @@
 
     /// How soon one more request can be sent while all targets that serve it
     /// are bounded, in milliseconds; `None` while some is not.
-    pub fn bounded_gap_ms(&self, now: Millis, needs: Needs<'_>) -> Option<f64> {
+    pub fn rate_limited_interval_ms(&self, now: Millis, needs: Requirements<'_>) -> Option<f64> {
         let serving = || {
             self.candidates
                 .iter()
@@ -125,7 +125,7 @@
 
     pub(crate) fn goes_unasked(&self, now: Millis, candidate: &Candidate) -> bool {
         let admission = self.admission(now, candidate);
-        matches!(admission, Admission::Free | Admission::Part)
+        matches!(admission, Admission::Unrestricted | Admission::Quota)
     }
 
     pub(crate) fn slowness(&self, now: Millis, candidate: &Candidate) -> f64 {
--- a/crates/moleroad_dispatch/src/budget.rs
+++ b/crates/moleroad_dispatch/src/budget.rs
@@ -11,7 +11,7 @@
 
 /// The bound that holds over all entries.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct BudgetTerms {
+pub struct RetryBudgetParams {
     /// Repeats for each request.
     pub ratio: f64,
     /// Repeats beyond that.
@@ -29,14 +29,14 @@
 
 /// Counts requests and repeats of one service in a sliding window.
 #[derive(Clone, Debug)]
-pub struct RepeatBudget {
-    terms: BudgetTerms,
+pub struct SharedRetryBudget {
+    terms: RetryBudgetParams,
     buckets: VecDeque<Bucket>,
 }
 
-impl RepeatBudget {
+impl SharedRetryBudget {
     /// A budget under `terms`.
-    pub fn new(terms: BudgetTerms) -> Self {
+    pub fn new(terms: RetryBudgetParams) -> Self {
         Self {
             terms,
             buckets: VecDeque::new(),
--- a/crates/moleroad_dispatch/src/candidate.rs
+++ b/crates/moleroad_dispatch/src/candidate.rs
@@ -46,7 +46,7 @@
     /// Requests it works on at once.
     pub slots: u32,
     /// Most requests this entry may have there at once.
-    pub most_own: u32,
+    pub max_own: u32,
     /// Places there that belong to this entry when it is nearly full.
     pub share: u32,
     /// How far it is.
@@ -76,7 +76,7 @@
 
 /// What a request asks of a target.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Needs<'a> {
+pub struct Requirements<'a> {
     /// When it is chosen.
     pub now: Millis,
     /// Targets that it was sent to before.
@@ -87,7 +87,7 @@
     pub prompt_tokens: u64,
     /// Time that is left for a first event, in milliseconds; `None` when late
     /// is better than never.
-    pub within_ms: Option<u64>,
+    pub first_event_within_ms: Option<u64>,
     /// Places that must stay free at the target for others.
     pub spare: u32,
     /// Regions in which it may be served; `None` allows all.
--- a/crates/moleroad_dispatch/src/choice.rs
+++ b/crates/moleroad_dispatch/src/choice.rs
@@ -1,6 +1,6 @@
 //! Choosing among the targets of a service.
 
-use crate::candidate::{Candidate, Distance, Needs};
+use crate::candidate::{Candidate, Distance, Requirements};
 use crate::cold::Admission;
 use crate::division::PART_LIFE_MS;
 use crate::eligibility::barrier;
@@ -9,11 +9,11 @@
 
 /// Which targets are looked at.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reach {
+pub enum SearchScope {
     /// Those of the own region; where it has none, some of other regions.
-    Near,
+    OwnRegion,
     /// Those of other regions; some more where the own region has none.
-    Far,
+    OtherRegions,
 }
 
 /// What a choice came to.
@@ -64,7 +64,7 @@
 
 impl Targets {
     /// Chooses a target that meets `needs`. `draw` breaks ties.
-    pub fn choose(&self, now: Millis, needs: Needs<'_>, draw: u64) -> Choice {
+    pub fn choose(&self, now: Millis, needs: Requirements<'_>, draw: u64) -> Choice {
         let pool = self.pool(now, needs);
         if pool.is_empty() {
             return Choice::Nobody;
@@ -87,7 +87,7 @@
 
     /// Some of the targets that meet `needs`, have a place and may get the request on a
     /// grant, drawn by chance.
-    pub fn on_grant(&self, now: Millis, needs: Needs<'_>, draw: u64) -> Vec<Candidate> {
+    pub fn on_grant(&self, now: Millis, needs: Requirements<'_>, draw: u64) -> Vec<Candidate> {
         let mut pool = self.pool(now, needs);
         pool.retain(|candidate| self.admission(now, candidate) == Admission::Grant);
         pool.retain(|candidate| self.has_place(now, candidate, needs.spare));
@@ -97,13 +97,13 @@
 
     /// The sound targets that meet `needs`; when none is sound, all of them.
     /// One that is out of reach comes back when its agent may be asked again.
-    fn pool(&self, now: Millis, needs: Needs<'_>) -> Vec<&Candidate> {
+    fn pool(&self, now: Millis, needs: Requirements<'_>) -> Vec<&Candidate> {
         let fits = |candidate: &&Candidate| barrier(candidate, needs).is_none();
         let fitting: Vec<&Candidate> = self.candidates.iter().filter(fits).collect();
         let sound = |candidate: &&&Candidate| {
             let load = self.load(&candidate.id);
             let is_avoided = load.health.is_avoided(now);
-            let is_silent = load.is_out_of_reach(now) && load.agent_rests(now);
+            let is_silent = load.is_out_of_reach(now) && load.agent_is_backed_off(now);
             !candidate.switching && !is_silent && (self.ignores_failures || !is_avoided)
         };
         let pool: Vec<&Candidate> = fitting.iter().filter(sound).copied().collect();
@@ -118,8 +118,8 @@
     pub fn shortlist(
         &self,
         now: Millis,
-        needs: Needs<'_>,
-        reach: Reach,
+        needs: Requirements<'_>,
+        reach: SearchScope,
         draw: u64,
     ) -> Vec<Candidate> {
         let is_far = |candidate: &&Candidate| candidate.distance == Distance::OtherRegion;
@@ -127,10 +127,10 @@
         // Where the own region has none, those of others are asked in its place:
         // such a request gets the best of as many as any other.
         let (pool, passed_over, count) = match (reach, near.is_empty()) {
-            (Reach::Near, false) => (near, 0, NEAR_ASKED),
-            (Reach::Far, false) => (far, 0, FAR_ASKED),
-            (Reach::Near, true) => (far, 0, NEAR_ASKED),
-            (Reach::Far, true) => (far, NEAR_ASKED, FAR_ASKED),
+            (SearchScope::OwnRegion, false) => (near, 0, NEAR_ASKED),
+            (SearchScope::OtherRegions, false) => (far, 0, FAR_ASKED),
+            (SearchScope::OwnRegion, true) => (far, 0, NEAR_ASKED),
+            (SearchScope::OtherRegions, true) => (far, NEAR_ASKED, FAR_ASKED),
         };
         let drawn = draw_some(pool, passed_over + count, draw);
         drawn.into_iter().skip(passed_over).cloned().collect()
@@ -142,7 +142,7 @@
     pub fn best_of(
         &self,
         now: Millis,
-        needs: Needs<'_>,
+        needs: Requirements<'_>,
         looked_at: &[Candidate],
     ) -> Option<Candidate> {
         // What was learned while agents were asked counts.
@@ -156,7 +156,7 @@
         let free = known
             .into_iter()
             .filter(|candidate| !any_heard || is_heard(candidate))
-            .filter(|candidate| self.admission(now, candidate) != Admission::Closed)
+            .filter(|candidate| self.admission(now, candidate) != Admission::Denied)
             .filter(|candidate| self.has_place(now, candidate, needs.spare))
             .filter(|candidate| self.is_in_time(now, candidate, needs));
         let best = free.min_by(|a, b| self.cost_ms(now, a).total_cmp(&self.cost_ms(now, b)));
@@ -165,7 +165,7 @@
 
     /// The target as it is chosen: a part of it must be used soon.
     fn with_part_life(&self, now: Millis, chosen: &Candidate) -> Candidate {
-        let is_part = self.admission(now, chosen) == Admission::Part;
+        let is_part = self.admission(now, chosen) == Admission::Quota;
         Candidate {
             granted_until: is_part.then(|| now + PART_LIFE_MS),
             ..chosen.clone()
--- a/crates/moleroad_dispatch/src/cold.rs
+++ b/crates/moleroad_dispatch/src/cold.rs
@@ -36,7 +36,7 @@
 
 /// What is known of a target when its state is worked out.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ColdNews {
+pub struct ColdEvidence {
     /// How long a target is cold after its start, in milliseconds.
     pub lasts_ms: u64,
     /// When it was first heard of.
@@ -49,7 +49,7 @@
     pub restored: Option<Millis>,
 }
 
-impl ColdNews {
+impl ColdEvidence {
     /// Until when the target counts as cold, and what says so.
     pub fn until(self) -> (Millis, ColdSource) {
         // Its own word that it is not cold ends what was only assumed before.
@@ -97,25 +97,25 @@
     /// How long a target is cold after its start, in milliseconds.
     pub lasts_ms: u64,
     /// Whether requests go there on grants of the agent beside it only.
-    pub by_grant: bool,
+    pub requires_grant: bool,
     /// Requests in a second that this entry may send without a grant.
     pub part: u32,
     /// From when on it may.
-    pub part_from: Millis,
+    pub quota_from: Millis,
 }
 
 impl ColdTarget {
     /// How much longer it is cold by what it said itself, in milliseconds: what
     /// others may rely on. What was only assumed of it, as after its data hall
     /// was taken back, ends here with its own word, and elsewhere would not.
-    pub fn known_left_ms(&self, now: Millis) -> u64 {
+    pub fn reported_left_ms(&self, now: Millis) -> u64 {
         self.said_until.since(now)
     }
 
     /// The part of `own` among `entries` that are ready; none where grants are
     /// given.
-    pub fn with_part(mut self, own: &str, entries: &[&str], target: &str) -> Self {
-        if self.by_grant {
+    pub fn with_quota(mut self, own: &str, entries: &[&str], target: &str) -> Self {
+        if self.requires_grant {
             return self;
         }
         self.part = Division::of(self.bound).part_of(own, entries, target);
@@ -127,11 +127,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Admission {
     /// Without asking.
-    Free,
+    Unrestricted,
     /// Without asking, as a send that counts toward this entry's part.
-    Part,
+    Quota,
     /// On a grant.
     Grant,
     /// Not now.
-    Closed,
+    Denied,
 }
--- a/crates/moleroad_dispatch/src/cost.rs
+++ b/crates/moleroad_dispatch/src/cost.rs
@@ -1,6 +1,6 @@
 //! Whether a target has a place for a request, and what sending it there costs.
 
-use crate::candidate::{Candidate, Needs};
+use crate::candidate::{Candidate, Requirements};
 use crate::targets::Targets;
 use moleroad_types::prelude::Millis;
 
@@ -29,25 +29,32 @@
         let requests = load.requests(now);
         let slots = f64::from(candidate.slots.saturating_sub(spare));
         if self.reading.is_some() && load.is_current(now) {
-            return load.own() < candidate.most_own && requests + 1.0 <= slots;
+            return load.own() < candidate.max_own && requests + 1.0 <= slots;
         }
         // All entries see a target that has just become free: each sends only
         // its part until a report tells what the others sent.
         let is_crowd = self.reading.is_some() && load.unreported(now) >= candidate.share.max(1);
         let is_light = requests + 1.0 <= slots * LIGHT_SHARE && !is_crowd;
         let has_own = load.own() < candidate.share && requests < slots;
-        load.own() < candidate.most_own && (is_light || has_own)
+        load.own() < candidate.max_own && (is_light || has_own)
     }
 
-    pub(crate) fn is_in_time(&self, now: Millis, candidate: &Candidate, needs: Needs<'_>) -> bool {
-        let (Some(within_ms), Some(reading)) = (needs.within_ms, self.reading) else {
+    pub(crate) fn is_in_time(
+        &self,
+        now: Millis,
+        candidate: &Candidate,
+        needs: Requirements<'_>,
+    ) -> bool {
+        let (Some(first_event_within_ms), Some(reading)) =
+            (needs.first_event_within_ms, self.reading)
+        else {
             return true;
         };
         let load = self.load(&candidate.id);
         let unread = load.unread_tokens(now, reading.usual_prompt);
         let own = needs.prompt_tokens as f64;
         let first_event_ms = reading.first_event_ms(own, unread, load.requests(now));
-        first_event_ms * self.slowness(now, candidate) <= within_ms as f64
+        first_event_ms * self.slowness(now, candidate) <= first_event_within_ms as f64
     }
 
     /// What sending to the candidate costs, as a time in milliseconds.
--- a/crates/moleroad_dispatch/src/division.rs
+++ b/crates/moleroad_dispatch/src/division.rs
@@ -7,7 +7,7 @@
 //! it. Views that differ in `n` entries add at most `n` entries to the first
 //! set, so the bound holds as long as no more differ than a set has members.
 
-use crate::rate_bound::{DELAY_MS, GRANT_LIFE_MS, RateBound};
+use crate::rate_bound::{DELAY_MS, GRANT_TTL_MS, RateBound};
 use moleroad_types::prelude::Millis;
 use std::collections::VecDeque;
 use std::collections::hash_map::DefaultHasher;
@@ -20,7 +20,7 @@
 const SETS_OF_OWNERS: u32 = 2;
 /// How long a send that was counted toward a part may still begin, in
 /// milliseconds: a new connection to the target, as for a grant.
-pub const PART_LIFE_MS: u64 = GRANT_LIFE_MS;
+pub const PART_LIFE_MS: u64 = GRANT_TTL_MS;
 /// Time in which an entry counts its part at most, in milliseconds: what arrives
 /// in a second was sent in that second or at most [`DELAY_MS`] on the way before
 /// it, and counted at most [`PART_LIFE_MS`] before it was sent. Two sends that
@@ -96,6 +96,6 @@
 
 /// When an entry that began at `began`, and heard of a target at `heard`, may
 /// send it its part: an earlier run of the entry may just have done so.
-pub fn may_send_from(began: Millis, heard: Millis) -> Millis {
+pub fn quota_usable_from(began: Millis, heard: Millis) -> Millis {
     began.max(heard) + SPAN_MS
 }
--- a/crates/moleroad_dispatch/src/lib.rs
+++ b/crates/moleroad_dispatch/src/lib.rs
@@ -22,7 +22,7 @@
 //! use moleroad_dispatch::prelude::*;
 //! use moleroad_types::prelude::Millis;
 //!
-//! let mut budget = RepeatBudget::new(BudgetTerms { ratio: 0.2, slack: 20.0, window_ms: 10_000 });
+//! let mut budget = SharedRetryBudget::new(RetryBudgetParams { ratio: 0.2, slack: 20.0, window_ms: 10_000 });
 //! budget.note_request(Millis(0));
 //! assert!(budget.take(Millis(1), 4));
 //! ```
@@ -51,21 +51,21 @@
 /// The types most users of the crate need.
 pub mod prelude {
     pub use crate::admission::COLD_SLOWNESS;
-    pub use crate::budget::{BudgetTerms, RepeatBudget};
-    pub use crate::candidate::{Candidate, Distance, Needs};
-    pub use crate::choice::{Choice, Reach};
-    pub use crate::cold::{Admission, ColdNews, ColdSource, ColdTarget};
-    pub use crate::division::{Division, SendTimes, may_send_from};
-    pub use crate::eligibility::{Barrier, BarrierTally, barrier, tally};
+    pub use crate::budget::{RetryBudgetParams, SharedRetryBudget};
+    pub use crate::candidate::{Candidate, Distance, Requirements};
+    pub use crate::choice::{Choice, SearchScope};
+    pub use crate::cold::{Admission, ColdEvidence, ColdSource, ColdTarget};
+    pub use crate::division::{Division, SendTimes, quota_usable_from};
+    pub use crate::eligibility::{Exclusion, ExclusionCounts, barrier, tally};
     pub use crate::health::{Health, Outcome};
-    pub use crate::limit::{LEAST_PER_S, LimitedTarget, limit_terms, owner};
+    pub use crate::limit::{LEAST_PER_S, LimitedTarget, limit_bucket_params, owner};
     pub use crate::load::TargetLoad;
     pub use crate::overdue_share::OverdueShare;
-    pub use crate::pace::Pace;
-    pub use crate::queue::{Line, WaitQueue, Waiter, WaiterId};
-    pub use crate::rate_bound::{GRANT_LIFE_MS, GrantTerms, RateBound, TokenBucket};
-    pub use crate::reading::ReadingSpeed;
-    pub use crate::rest::{Answerer, LONGEST_REST_MS, Rests, read_rest_ms};
-    pub use crate::share::{EntryDemand, Shares};
-    pub use crate::targets::{Rested, Targets};
+    pub use crate::pace::WaitEstimator;
+    pub use crate::queue::{WaitClass, WaitQueue, Waiter, WaiterId};
+    pub use crate::rate_bound::{GRANT_TTL_MS, GrantTerms, RateBound, TokenBucket};
+    pub use crate::reading::PrefillSpeed;
+    pub use crate::rest::{LONGEST_REST_MS, Responder, Rests, parse_retry_after_ms};
+    pub use crate::share::{EntryDemand, SlotShares};
+    pub use crate::targets::{BackoffEnds, Targets};
 }
--- a/crates/moleroad_dispatch/src/limit.rs
+++ b/crates/moleroad_dispatch/src/limit.rs
@@ -25,7 +25,7 @@
 }
 
 /// How grants are given for a target that named `rate`.
-pub fn limit_terms(rate: RequestRate) -> GrantTerms {
+pub fn limit_bucket_params(rate: RequestRate) -> GrantTerms {
     let per_s = rate.as_per_s().max(LEAST_PER_S);
     GrantTerms {
         per_s,
--- a/crates/moleroad_dispatch/src/load.rs
+++ b/crates/moleroad_dispatch/src/load.rs
@@ -104,8 +104,8 @@
 
     /// Takes that the agent beside the target did not answer; requests that
     /// asked it side by side count as one sign.
-    pub fn agent_was_silent(&mut self, now: Millis) {
-        if self.agent_rests(now) {
+    pub fn agent_timed_out(&mut self, now: Millis) {
+        if self.agent_is_backed_off(now) {
             return;
         }
         self.agent_rests_until = now + AGENT_RESTS_MS;
@@ -142,7 +142,7 @@
     }
 
     /// Takes that the agent counts the target as cold until then.
-    pub fn agent_says_cold(&mut self, until: Millis) {
+    pub fn agent_reported_cold(&mut self, until: Millis) {
         self.cold_until = self.cold_until.max(until);
     }
 
@@ -152,7 +152,7 @@
     }
 
     /// Whether the agent beside the target did not answer lately.
-    pub fn agent_rests(&self, now: Millis) -> bool {
+    pub fn agent_is_backed_off(&self, now: Millis) -> bool {
         now < self.agent_rests_until
     }
 
--- a/crates/moleroad_dispatch/src/pace.rs
+++ b/crates/moleroad_dispatch/src/pace.rs
@@ -15,13 +15,13 @@
 
 /// The pace at which places come to requests that wait in one line.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct WaitEstimator {
     gap_ms: f64,
     /// When the last place was given, or the first of those waiting began to.
     since: Millis,
 }
 
-impl Default for Pace {
+impl Default for WaitEstimator {
     fn default() -> Self {
         Self {
             gap_ms: FIRST_GAP_MS,
@@ -30,7 +30,7 @@
     }
 }
 
-impl Pace {
+impl WaitEstimator {
     /// Notes that a request begins to wait behind `ahead` others.
     pub fn entered(&mut self, now: Millis, ahead: usize) {
         if ahead == 0 {
--- a/crates/moleroad_dispatch/src/queue.rs
+++ b/crates/moleroad_dispatch/src/queue.rs
@@ -8,7 +8,7 @@
 
 /// What a waiting request still hopes for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Line {
+pub enum WaitClass {
     /// An answer within its wanted latency, or the rest of one that was begun.
     InTime,
     /// An answer at all: its wanted latency can no longer be met.
@@ -21,7 +21,7 @@
     /// Its name.
     pub id: WaiterId,
     /// What it still hopes for.
-    pub line: Line,
+    pub line: WaitClass,
     /// Rank; 0 is the most urgent.
     pub priority: u8,
     /// When it began to wait.
@@ -71,7 +71,7 @@
     /// Number of requests of one line that wait for any place that one with
     /// these regions would wait for. Those that may be served in fewer regions
     /// do not count: the places that they wait for may not be its own.
-    pub fn len_ahead(&self, line: Line, regions: &AllowedRegions) -> usize {
+    pub fn count_ahead(&self, line: WaitClass, regions: &AllowedRegions) -> usize {
         let is_ahead = |waiter: &&Waiter| waiter.line == line && waiter.regions.covers(regions);
         self.waiters.iter().filter(is_ahead).count()
     }
@@ -119,7 +119,7 @@
     }
 }
 
-fn rank(now: Millis, waiter: &Waiter) -> (Line, bool, u8, Millis, u64) {
+fn rank(now: Millis, waiter: &Waiter) -> (WaitClass, bool, u8, Millis, u64) {
     let late = now > waiter.wanted_by;
     (
         waiter.line,
--- a/crates/moleroad_dispatch/src/rate_bound.rs
+++ b/crates/moleroad_dispatch/src/rate_bound.rs
@@ -16,7 +16,7 @@
 /// How long a grant may be used, in milliseconds, counted at the entry from
 /// when it asked: an answer on the way back, and a new connection to the
 /// target.
-pub const GRANT_LIFE_MS: u64 = 150;
+pub const GRANT_TTL_MS: u64 = 150;
 /// Longest way of a request that was sent, in milliseconds, that the sums allow
 /// for: a crowded link between two regions.
 pub const DELAY_MS: u64 = 100;
@@ -70,7 +70,7 @@
 }
 
 /// Span in which requests were granted that arrive in one second, in seconds.
-const WINDOW_S: f64 = 1.0 + (GRANT_LIFE_MS + DELAY_MS) as f64 / MS_PER_S;
+const WINDOW_S: f64 = 1.0 + (GRANT_TTL_MS + DELAY_MS) as f64 / MS_PER_S;
 
 /// How grants are given.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -122,7 +122,7 @@
     }
 
     /// Goes on under other terms; true if they differ.
-    pub fn set_terms(&mut self, now: Millis, terms: GrantTerms) -> bool {
+    pub fn set_params(&mut self, now: Millis, terms: GrantTerms) -> bool {
         self.fill(now);
         let differ = self.terms != terms;
         self.terms = terms;
--- a/crates/moleroad_dispatch/src/reading.rs
+++ b/crates/moleroad_dispatch/src/reading.rs
@@ -2,7 +2,7 @@
 
 /// How fast the engines of a service read prompts.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ReadingSpeed {
+pub struct PrefillSpeed {
     /// Prompt tokens read in a millisecond.
     pub tokens_per_ms: f64,
     /// Tokens of a usual prompt.
@@ -14,7 +14,7 @@
     pub tokens_per_pass: f64,
 }
 
-impl ReadingSpeed {
+impl PrefillSpeed {
     /// Time until the first event of a prompt of `own` tokens that is sent to
     /// an engine with `unread` tokens before it, of which `running` requests
     /// write: half of the pass under way, then passes until all is read, each
--- a/crates/moleroad_dispatch/src/rest.rs
+++ b/crates/moleroad_dispatch/src/rest.rs
@@ -18,7 +18,7 @@
 /// Reads a rest that is given in seconds; returns milliseconds, rounded up and
 /// at most [`LONGEST_REST_MS`]. Whole numbers and decimal fractions are taken;
 /// anything else, also a negative number or a date, is `None`.
-pub fn read_rest_ms(seconds: &str) -> Option<u64> {
+pub fn parse_retry_after_ms(seconds: &str) -> Option<u64> {
     let digits = seconds.trim();
     let is_decimal = digits.bytes().all(|b| b.is_ascii_digit() || b == b'.');
     let seconds: f64 = digits.parse().ok().filter(|_| is_decimal)?;
@@ -27,7 +27,7 @@
 
 /// The target that answers, as far as it was known when it was asked.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answerer {
+pub struct Responder {
     /// Address.
     pub address: SocketAddr,
     /// Identity.
@@ -36,7 +36,7 @@
     pub born_ms: u64,
 }
 
-impl Answerer {
+impl Responder {
     /// The target as its record tells.
     pub fn of(record: &TargetRecord) -> Self {
         Self {
@@ -50,7 +50,7 @@
 /// One wish for rest.
 #[derive(Clone, Debug)]
 struct Rest {
-    from: Answerer,
+    from: Responder,
     /// Unix time of the answer by this daemon's clock, in milliseconds.
     answered_unix_ms: u64,
     until: Millis,
@@ -81,7 +81,7 @@
 impl Rests {
     /// Takes the wish of a target that answered at `answered_unix_ms`, Unix time in
     /// milliseconds. A shorter wish takes nothing from one that was made before.
-    pub fn ask(&mut self, now: Millis, from: Answerer, answered_unix_ms: u64, rest_ms: u64) {
+    pub fn ask(&mut self, now: Millis, from: Responder, answered_unix_ms: u64, rest_ms: u64) {
         self.by_address.retain(|_, rest| rest.until > now);
         let asked_until = now + rest_ms;
         let known = self.by_address.get(&from.address);
@@ -96,7 +96,7 @@
     }
 
     /// Until when a target rests; `None` when it does not.
-    pub fn until(&self, now: Millis, target: &Answerer) -> Option<Millis> {
+    pub fn until(&self, now: Millis, target: &Responder) -> Option<Millis> {
         let rest = self.by_address.get(&target.address)?;
         let is_its_own = rest.is_of(&target.target, target.born_ms);
         (rest.until > now && is_its_own).then_some(rest.until)
--- a/crates/moleroad_dispatch/src/share.rs
+++ b/crates/moleroad_dispatch/src/share.rs
@@ -26,14 +26,14 @@
 /// the places of a target. The demands are read once, so that a target costs the
 /// same however many entries there are.
 #[derive(Clone, Copy, Debug)]
-pub struct Shares {
+pub struct SlotShares {
     /// Part of all demand that comes before the entry's own, and up to its end.
     own: Option<(f64, f64)>,
     /// Whether there are other entries.
     is_shared: bool,
 }
 
-impl Shares {
+impl SlotShares {
     /// Those of the entry `own` among `entries`.
     pub fn new<'a>(own: &str, entries: impl IntoIterator<Item = EntryDemand<'a>>) -> Self {
         let entries: Vec<EntryDemand<'a>> = entries.into_iter().collect();
--- a/crates/moleroad_dispatch/src/targets.rs
+++ b/crates/moleroad_dispatch/src/targets.rs
@@ -1,18 +1,18 @@
 //! The targets of one service, and what is in flight at each.
 
-use crate::candidate::{Candidate, Needs};
+use crate::candidate::{Candidate, Requirements};
 use crate::division::SendTimes;
-use crate::eligibility::{Barrier, barrier};
+use crate::eligibility::{Exclusion, barrier};
 use crate::health::Outcome;
 use crate::load::TargetLoad;
-use crate::reading::ReadingSpeed;
+use crate::reading::PrefillSpeed;
 use moleroad_directory::prelude::TargetId;
 use moleroad_types::prelude::{AllowedRegions, Millis};
 use std::collections::HashMap;
 
 /// When the first of the targets has rested that a request could go to otherwise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Rested {
+pub struct BackoffEnds {
     /// Of all of them: then the request can be sent when its caller repeats it.
     pub any: Millis,
     /// Of those that it was not sent to before: then it can go on; `None` without.
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Targets {
     /// How fast they read prompts; `None` for plain targets.
-    pub reading: Option<ReadingSpeed>,
+    pub reading: Option<PrefillSpeed>,
     /// Whether targets that fail are not avoided.
     pub ignores_failures: bool,
     pub(crate) candidates: Vec<Candidate>,
@@ -48,7 +48,7 @@
     }
 
     /// Targets outside evacuated halls.
-    pub fn count_open(&self) -> usize {
+    pub fn count_not_evacuated(&self) -> usize {
         let open = self.candidates.iter().filter(|c| !c.evacuated);
         open.count()
     }
@@ -64,22 +64,22 @@
 
     /// Whether some target may take a request with these needs, now or once it
     /// has a place.
-    pub fn any_serves(&self, needs: Needs<'_>) -> bool {
+    pub fn any_eligible(&self, needs: Requirements<'_>) -> bool {
         let serves = |candidate: &Candidate| barrier(candidate, needs).is_none();
         self.candidates.iter().any(serves)
     }
 
     /// When the first target has rested that keeps a request with these needs
     /// waiting by that alone; `None` where a target may take it now, or none rests.
-    pub fn rested_at(&self, needs: Needs<'_>) -> Option<Rested> {
-        if self.any_serves(needs) {
+    pub fn rested_at(&self, needs: Requirements<'_>) -> Option<BackoffEnds> {
+        if self.any_eligible(needs) {
             return None;
         }
-        let rests = |candidate: &&Candidate| barrier(candidate, needs) == Some(Barrier::Rests);
+        let rests = |candidate: &&Candidate| barrier(candidate, needs) == Some(Exclusion::Rests);
         let resting = || self.candidates.iter().filter(rests);
         let is_untried = |candidate: &&Candidate| !needs.tried.contains(&candidate.id);
         let untried = resting().filter(is_untried);
-        Some(Rested {
+        Some(BackoffEnds {
             any: resting()
                 .filter_map(|candidate| candidate.rests_until)
                 .min()?,
@@ -88,7 +88,7 @@
     }
 
     /// Notes until when a target rests from this daemon.
-    pub fn set_rest(&mut self, id: &TargetId, until: Option<Millis>) {
+    pub fn set_backoff(&mut self, id: &TargetId, until: Option<Millis>) {
         let candidates = self.candidates.iter_mut();
         for candidate in candidates.filter(|candidate| candidate.id == *id) {
             candidate.rests_until = until;
@@ -96,7 +96,7 @@
     }
 
     /// Whether some target may take a request with these needs and is reachable.
-    pub fn any_reachable(&self, now: Millis, needs: Needs<'_>) -> bool {
+    pub fn any_reachable(&self, now: Millis, needs: Requirements<'_>) -> bool {
         let serves = |candidate: &Candidate| {
             let is_open = barrier(candidate, needs).is_none();
             is_open && !self.load(&candidate.id).health.is_unreachable(now)
@@ -105,17 +105,19 @@
     }
 
     /// Whether a request with these needs may go to this target.
-    pub fn is_open(&self, id: &TargetId, needs: Needs<'_>) -> bool {
+    pub fn is_open(&self, id: &TargetId, needs: Requirements<'_>) -> bool {
         let candidate = self.candidate(id);
         candidate.is_some_and(|candidate| barrier(candidate, needs).is_none())
     }
 
     /// Whether all targets that stand where the request may be served are in
     /// evacuated halls, so that waiting for a place is in vain.
-    pub fn all_evacuated(&self, needs: Needs<'_>) -> bool {
+    pub fn all_evacuated(&self, needs: Requirements<'_>) -> bool {
         let barriers = self.candidates.iter().map(|c| barrier(c, needs));
-        let mut in_region = barriers.filter(|b| *b != Some(Barrier::Region)).peekable();
-        in_region.peek().is_some() && in_region.all(|b| b == Some(Barrier::Evacuated))
+        let mut in_region = barriers
+            .filter(|b| *b != Some(Exclusion::Region))
+            .peekable();
+        in_region.peek().is_some() && in_region.all(|b| b == Some(Exclusion::Evacuated))
     }
 
     /// The target as it is known now.
@@ -166,7 +168,7 @@
 
     /// Whether others must be asked before some target gets a request: the agents
     /// beside engines, or the owners of limits.
-    pub fn are_asked(&self) -> bool {
+    pub fn require_queries(&self) -> bool {
         self.have_agents() || self.candidates.iter().any(|c| c.limit.is_some())
     }
 
@@ -176,11 +178,11 @@
     }
 
     /// Notes that the agent beside the target did not answer.
-    pub fn agent_was_silent(&mut self, now: Millis, id: &TargetId) {
+    pub fn agent_timed_out(&mut self, now: Millis, id: &TargetId) {
         self.loads
             .entry(id.clone())
             .or_default()
-            .agent_was_silent(now);
+            .agent_timed_out(now);
     }
 
     /// Places that are free, over all targets of these regions.
--- a/crates/moleroad_dispatch/tests/cold_admission.rs
+++ b/crates/moleroad_dispatch/tests/cold_admission.rs
@@ -8,16 +8,16 @@
 use std::sync::Arc;
 
 /// A bound that holds until 5,000 ms.
-fn cold(by_grant: bool, part: u32) -> ColdTarget {
+fn cold(requires_grant: bool, part: u32) -> ColdTarget {
     ColdTarget {
         bound: RateBound::new(15.0, 1.5, 5.0),
         until: Millis(5_000),
         source: ColdSource::Heartbeat,
         said_until: Millis(5_000),
         lasts_ms: 3_000,
-        by_grant,
+        requires_grant,
         part,
-        part_from: Millis(0),
+        quota_from: Millis(0),
     }
 }
 
@@ -61,7 +61,7 @@
     let known = target(Some(cold(true, 0)));
     let mut targets = with(&known);
     assert!(targets.may_begin(Millis(6_000), &known));
-    targets.agent_says_cold(&known.id, Millis(7_000));
+    targets.agent_reported_cold(&known.id, Millis(7_000));
     assert!(!targets.may_begin(Millis(6_000), &known));
 }
 
@@ -84,14 +84,14 @@
     let foreign = target(Some(cold(false, 0)));
     assert!(!with(&foreign).may_begin(Millis(4_000), &granted(&owned, 4_100)));
     // A part is no grant.
-    let by_grant = target(Some(cold(true, 0)));
-    assert!(!with(&by_grant).may_begin(Millis(4_000), &granted(&owned, 4_100)));
+    let requires_grant = target(Some(cold(true, 0)));
+    assert!(!with(&requires_grant).may_begin(Millis(4_000), &granted(&owned, 4_100)));
 }
 
 /// What an entry tells the agent at 2,000 ms of a target whose data hall was
 /// taken back at 1,000 ms, and which said before that `left_ms` were left.
 fn told_of_restored(left_ms: u64) -> (ColdSource, u64) {
-    let news = ColdNews {
+    let news = ColdEvidence {
         lasts_ms: 3_000,
         first_heard: Millis(0),
         heard: Millis(900),
@@ -106,7 +106,7 @@
         ..cold(true, 0)
     };
     assert_eq!(until, Millis(4_000));
-    (source, target.known_left_ms(Millis(2_000)))
+    (source, target.reported_left_ms(Millis(2_000)))
 }
 
 #[test]
@@ -125,11 +125,11 @@
     targets.set(Vec::new());
     targets.set(vec![owned.clone()]);
     let admission = |targets: &Targets, now| targets.admission(Millis(now), &owned);
-    assert_eq!(admission(&targets, 3_000 + SPAN_MS - 1), Admission::Closed);
-    assert_eq!(admission(&targets, 3_000 + SPAN_MS), Admission::Part);
+    assert_eq!(admission(&targets, 3_000 + SPAN_MS - 1), Admission::Denied);
+    assert_eq!(admission(&targets, 3_000 + SPAN_MS), Admission::Quota);
     // Those that are over are forgotten with the next send to any target.
     targets.started(Millis(3_000 + SPAN_MS), &owned.id, 0);
-    assert_eq!(admission(&targets, 4_500), Admission::Closed);
+    assert_eq!(admission(&targets, 4_500), Admission::Denied);
 }
 
 #[test]
--- a/crates/moleroad_dispatch/tests/dispatch.rs
+++ b/crates/moleroad_dispatch/tests/dispatch.rs
@@ -14,7 +14,7 @@
 }
 
 fn chosen(targets: &Targets, now: u64) -> Option<String> {
-    match targets.choose(Millis(now), Needs::default(), 0) {
+    match targets.choose(Millis(now), Requirements::default(), 0) {
         Choice::Send(candidate) => Some(candidate.id.to_string()),
         _ => None,
     }
@@ -43,11 +43,14 @@
     for name in ["near", "far"] {
         targets.reported(Millis(0), &TargetId::new(name), 4, 0);
     }
-    assert_eq!(targets.choose(Millis(1), Needs::default(), 0), Choice::Full);
+    assert_eq!(
+        targets.choose(Millis(1), Requirements::default(), 0),
+        Choice::Full
+    );
     assert_eq!(targets.free_places(Millis(1), &AllowedRegions::all()), 0.0);
     // A report that is old counts less and less.
     assert!(matches!(
-        targets.choose(Millis(5_000), Needs::default(), 0),
+        targets.choose(Millis(5_000), Requirements::default(), 0),
         Choice::Send(_)
     ));
 }
@@ -101,9 +104,9 @@
 
 #[test]
 fn a_target_below_the_wanted_version_gets_nothing() {
-    let version_2 = Needs {
+    let version_2 = Requirements {
         least: Some(2),
-        ..Needs::default()
+        ..Requirements::default()
     };
     let mut targets = near_and_far();
     assert_eq!(targets.choose(Millis(0), version_2, 0), Choice::Nobody);
@@ -137,7 +140,7 @@
 
 fn waiter(id: u64, priority: u8, since: u64, wanted_by: u64) -> Waiter {
     Waiter {
-        line: Line::InTime,
+        line: WaitClass::InTime,
         id: WaiterId(id),
         priority,
         since: Millis(since),
@@ -174,13 +177,15 @@
 
 #[test]
 fn repeats_of_all_entries_stay_within_the_bound_in_every_window() {
-    let terms = BudgetTerms {
+    let terms = RetryBudgetParams {
         ratio: 0.2,
         slack: 100.0,
         window_ms: 10_000,
     };
     let entries = 9;
-    let mut budgets: Vec<RepeatBudget> = (0..entries).map(|_| RepeatBudget::new(terms)).collect();
+    let mut budgets: Vec<SharedRetryBudget> = (0..entries)
+        .map(|_| SharedRetryBudget::new(terms))
+        .collect();
     let mut taken: Vec<(u64, bool)> = Vec::new();
     for now in 0..60_000_u64 {
         let budget = &mut budgets[(now % entries as u64) as usize];
@@ -210,7 +215,7 @@
 #[test]
 fn prompts_that_wait_weigh_more_than_requests_that_run() {
     let mut targets = Targets::default();
-    targets.reading = Some(ReadingSpeed {
+    targets.reading = Some(PrefillSpeed {
         tokens_per_ms: 30.0,
         usual_prompt: 1_000.0,
         steps_ms: 50.0,
@@ -235,7 +240,7 @@
 #[test]
 fn a_target_that_cannot_answer_in_time_is_passed_over() {
     let mut targets = Targets::default();
-    targets.reading = Some(ReadingSpeed {
+    targets.reading = Some(PrefillSpeed {
         tokens_per_ms: 10.0,
         usual_prompt: 1_000.0,
         steps_ms: 50.0,
@@ -243,14 +248,14 @@
     });
     targets.set(vec![candidate("only", Distance::SameHall)]);
     targets.started(Millis(0), &TargetId::new("only"), 2_000);
-    let within = |within_ms| Needs {
+    let within = |first_event_within_ms| Requirements {
         prompt_tokens: 1_000,
-        within_ms,
-        ..Needs::default()
+        first_event_within_ms,
+        ..Requirements::default()
     };
     // Half of a pass of 250 ms, 3,000 tokens at 10 a millisecond, the steps of
     // two passes: 525 ms.
-    let at = |within_ms| targets.choose(Millis(0), within(within_ms), 0);
+    let at = |first_event_within_ms| targets.choose(Millis(0), within(first_event_within_ms), 0);
     assert_eq!(at(Some(524)), Choice::Full);
     assert!(matches!(at(Some(525)), Choice::Send(_)));
     assert!(matches!(at(None), Choice::Send(_)));
@@ -277,7 +282,7 @@
             let target = format!("target-{target}");
             let shares: Vec<u32> = names
                 .iter()
-                .map(|name| Shares::new(name, entries.clone()).of(&target, 16))
+                .map(|name| SlotShares::new(name, entries.clone()).of(&target, 16))
                 .collect();
             assert_eq!(shares.iter().sum::<u32>(), 16, "{shares:?}");
             totals.iter_mut().zip(&shares).for_each(|(t, s)| *t += s);
@@ -286,7 +291,7 @@
         assert!(totals.iter().all(|total| *total > 0), "{totals:?}");
         assert!(totals[9] >= totals[1], "{totals:?}");
     }
-    let alone = Shares::new("entry-0", demands(|_| 1.0).into_iter().take(1));
+    let alone = SlotShares::new("entry-0", demands(|_| 1.0).into_iter().take(1));
     assert_eq!(alone.of("target", 16), 16);
 }
 
@@ -301,7 +306,7 @@
             requests_per_s: 2.0,
         }
     });
-    let shares = Shares::new("entry-7", demands);
+    let shares = SlotShares::new("entry-7", demands);
     let places: u32 = (0..4_000)
         .map(|n| shares.of(&format!("target-{n}"), 8))
         .sum();
@@ -314,14 +319,14 @@
 fn a_nearly_full_target_is_left_to_those_whose_places_are_free() {
     let mut mine = candidate("target", Distance::SameHall);
     mine.slots = 10;
-    mine.most_own = 10;
+    mine.max_own = 10;
     mine.share = 1;
     let mut targets = Targets::default();
     targets.set(vec![mine]);
     let id = TargetId::new("target");
     let takes = |targets: &Targets| {
         matches!(
-            targets.choose(Millis(1), Needs::default(), 0),
+            targets.choose(Millis(1), Requirements::default(), 0),
             Choice::Send(_)
         )
     };
@@ -340,10 +345,10 @@
 fn a_target_that_has_just_become_free_is_not_rushed() {
     let mut fresh = candidate("fresh", Distance::SameHall);
     fresh.slots = 100;
-    fresh.most_own = 100;
+    fresh.max_own = 100;
     fresh.share = 2;
     let mut targets = Targets::default();
-    targets.reading = Some(ReadingSpeed {
+    targets.reading = Some(PrefillSpeed {
         tokens_per_ms: 30.0,
         usual_prompt: 1_000.0,
         steps_ms: 50.0,
@@ -352,7 +357,7 @@
     targets.set(vec![fresh]);
     let id = TargetId::new("fresh");
     let takes = |targets: &Targets, now| {
-        let choice = targets.choose(Millis(now), Needs::default(), 0);
+        let choice = targets.choose(Millis(now), Requirements::default(), 0);
         matches!(choice, Choice::Send(_))
     };
     for _ in 0..2 {
@@ -374,7 +379,7 @@
             .iter()
             .map(|name| Candidate {
                 slots: 16,
-                most_own: 16,
+                max_own: 16,
                 ..candidate(name, Distance::SameHall)
             })
             .collect(),
@@ -387,7 +392,7 @@
     let mut sent = std::collections::BTreeMap::<String, u32>::new();
     for entry in 0..40_u64 {
         let draw = (entry + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15);
-        match targets.choose(Millis(1), Needs::default(), draw) {
+        match targets.choose(Millis(1), Requirements::default(), draw) {
             Choice::Send(candidate) => *sent.entry(candidate.id.to_string()).or_default() += 1,
             other => panic!("{other:?}"),
         }
--- a/crates/moleroad_dispatch/tests/engines.rs
+++ b/crates/moleroad_dispatch/tests/engines.rs
@@ -6,7 +6,7 @@
 use moleroad_dispatch::prelude::*;
 use moleroad_types::prelude::Millis;
 
-const READING: ReadingSpeed = ReadingSpeed {
+const READING: PrefillSpeed = PrefillSpeed {
     tokens_per_ms: 30.0,
     usual_prompt: 900.0,
     steps_ms: 40.0,
@@ -23,7 +23,7 @@
 fn engine(name: &str, distance: Distance) -> Candidate {
     Candidate {
         slots: 16,
-        most_own: 16,
+        max_own: 16,
         share: 2,
         agent: Some("127.0.0.1:2".parse().unwrap()),
         ..candidate(name, distance)
@@ -47,8 +47,18 @@
     let mut seen = std::collections::BTreeSet::new();
     for draw in 0..200_u64 {
         let draw = draw.wrapping_mul(0x9E37_79B9_7F4A_7C15);
-        let near = targets.shortlist(Millis(0), Needs::default(), Reach::Near, draw);
-        let far = targets.shortlist(Millis(0), Needs::default(), Reach::Far, draw);
+        let near = targets.shortlist(
+            Millis(0),
+            Requirements::default(),
+            SearchScope::OwnRegion,
+            draw,
+        );
+        let far = targets.shortlist(
+            Millis(0),
+            Requirements::default(),
+            SearchScope::OtherRegions,
+            draw,
+        );
         assert_eq!((near.len(), far.len()), (3, 2));
         assert!(near.iter().all(|c| c.id.as_str().starts_with("near")));
         assert!(far.iter().all(|c| c.id.as_str().starts_with("far")));
@@ -67,7 +77,8 @@
     targets.started(Millis(0), id, 100);
     targets.started(Millis(0), id, 100);
     targets.reported(Millis(10), id, 14, 0);
-    let best = |targets: &Targets, now| targets.best_of(Millis(now), Needs::default(), &only);
+    let best =
+        |targets: &Targets, now| targets.best_of(Millis(now), Requirements::default(), &only);
     assert!(best(&targets, 20).is_some());
     assert!(best(&targets, 200).is_none());
     targets.reported(Millis(300), id, 16, 0);
@@ -83,7 +94,7 @@
     for (candidate, queued) in looked_at.iter().zip([2, 0, 1]) {
         targets.reported(Millis(0), &candidate.id, 8, queued);
     }
-    let best = targets.best_of(Millis(1), Needs::default(), &looked_at);
+    let best = targets.best_of(Millis(1), Requirements::default(), &looked_at);
     let best = best.expect("places are free");
     assert_eq!(best.id.as_str(), "near-1");
     assert!(targets.is_good_enough(Millis(1), &best));
@@ -94,12 +105,12 @@
 fn an_agent_that_was_silent_rests_until_it_is_heard() {
     let mut targets = engines();
     let id = TargetId::new("near-0");
-    targets.agent_was_silent(Millis(0), &id);
-    assert!(targets.load(&id).agent_rests(Millis(299)));
-    assert!(!targets.load(&id).agent_rests(Millis(300)));
-    targets.agent_was_silent(Millis(400), &id);
+    targets.agent_timed_out(Millis(0), &id);
+    assert!(targets.load(&id).agent_is_backed_off(Millis(299)));
+    assert!(!targets.load(&id).agent_is_backed_off(Millis(300)));
+    targets.agent_timed_out(Millis(400), &id);
     targets.reported(Millis(410), &id, 0, 0);
-    assert!(!targets.load(&id).agent_rests(Millis(420)));
+    assert!(!targets.load(&id).agent_is_backed_off(Millis(420)));
 }
 
 /// Whether the one target is reachable at `now`, after these ends of sends.
@@ -110,7 +121,7 @@
         targets.started(Millis(*at), &TargetId::new("a"), 0);
         targets.finished(Millis(*at), &TargetId::new("a"), *outcome);
     }
-    targets.any_reachable(Millis(now), Needs::default())
+    targets.any_reachable(Millis(now), Requirements::default())
 }
 
 #[test]
@@ -144,11 +155,11 @@
     targets.reported(Millis(0), silent, 4, 0);
     // Its report has faded; an engine with some work in hand answers.
     for at in [5_000, 5_300, 5_600] {
-        targets.agent_was_silent(Millis(at), silent);
+        targets.agent_timed_out(Millis(at), silent);
     }
     targets.reported(Millis(5_600), busy, 8, 1);
     let best = |targets: &Targets| {
-        let best = targets.best_of(Millis(5_601), Needs::default(), &looked_at);
+        let best = targets.best_of(Millis(5_601), Requirements::default(), &looked_at);
         best.map(|candidate| candidate.id)
     };
     assert_eq!(best(&targets).as_ref(), Some(busy));
@@ -156,7 +167,7 @@
     assert_eq!(best(&targets).as_ref(), Some(silent), "it is heard again");
     assert!(
         targets
-            .best_of(Millis(5_601), Needs::default(), &looked_at[..1])
+            .best_of(Millis(5_601), Requirements::default(), &looked_at[..1])
             .is_some(),
         "better than none"
     );
@@ -169,22 +180,22 @@
     let [silent, full] = [&looked_at[0].id, &looked_at[1].id];
     targets.reported(Millis(300), full, 16, 4);
     let sent = |targets: &Targets, looked_at: &[Candidate]| {
-        let best = targets.best_of(Millis(301), Needs::default(), looked_at);
+        let best = targets.best_of(Millis(301), Requirements::default(), looked_at);
         best.map(|candidate| candidate.id)
     };
-    targets.agent_was_silent(Millis(0), silent);
+    targets.agent_timed_out(Millis(0), silent);
     assert_eq!(
         sent(&targets, &looked_at).as_ref(),
         Some(silent),
         "one may be lost"
     );
-    targets.agent_was_silent(Millis(10), silent);
+    targets.agent_timed_out(Millis(10), silent);
     assert_eq!(
         sent(&targets, &looked_at).as_ref(),
         Some(silent),
         "side by side"
     );
-    targets.agent_was_silent(Millis(300), silent);
+    targets.agent_timed_out(Millis(300), silent);
     assert_eq!(sent(&targets, &looked_at), None);
     assert_eq!(
         sent(&targets, &looked_at[..1]).as_ref(),
@@ -205,16 +216,21 @@
     let id = TargetId::new("near-0");
     let is_drawn = |targets: &Targets, now| {
         (0..200).any(|draw| {
-            let drawn = targets.shortlist(Millis(now), Needs::default(), Reach::Near, draw);
+            let drawn = targets.shortlist(
+                Millis(now),
+                Requirements::default(),
+                SearchScope::OwnRegion,
+                draw,
+            );
             drawn.iter().any(|candidate| candidate.id == id)
         })
     };
     targets.agent_refused(Millis(0), &id);
     targets.agent_refused(Millis(300), &id);
     assert!(is_drawn(&targets, 301), "its agent is being started");
-    targets.agent_was_silent(Millis(600), &id);
+    targets.agent_timed_out(Millis(600), &id);
     assert!(is_drawn(&targets, 601));
-    targets.agent_was_silent(Millis(900), &id);
+    targets.agent_timed_out(Millis(900), &id);
     assert!(!is_drawn(&targets, 901));
     assert!(is_drawn(&targets, 1_200));
 }
@@ -225,16 +241,16 @@
     let looked_at = [0, 1].map(|index| engine(&format!("near-{index}"), Distance::SameHall));
     let [silent, full] = [&looked_at[0].id, &looked_at[1].id];
     for at in [0, 300] {
-        targets.agent_was_silent(Millis(at), silent);
+        targets.agent_timed_out(Millis(at), silent);
     }
     let sent = |targets: &mut Targets, now| {
         targets.reported(Millis(now), full, 16, 4);
-        let best = targets.best_of(Millis(now), Needs::default(), &looked_at);
+        let best = targets.best_of(Millis(now), Requirements::default(), &looked_at);
         best.map(|candidate| candidate.id)
     };
     assert_eq!(sent(&mut targets, 3_299), None);
     assert_eq!(sent(&mut targets, 3_300).as_ref(), Some(silent));
     // What is over does not add to a new silence.
-    targets.agent_was_silent(Millis(3_400), silent);
+    targets.agent_timed_out(Millis(3_400), silent);
     assert_eq!(sent(&mut targets, 3_401).as_ref(), Some(silent));
 }
--- a/crates/moleroad_dispatch/tests/limit.rs
+++ b/crates/moleroad_dispatch/tests/limit.rs
@@ -18,7 +18,7 @@
 
 /// Grants that a bucket, full at first, gives in a span and the time of late ones.
 fn most_granted(per_s: f64) -> u32 {
-    let terms = limit_terms(RequestRate::per_s(per_s));
+    let terms = limit_bucket_params(RequestRate::per_s(per_s));
     let mut bucket = TokenBucket::full(Millis(0), terms);
     let mut given = 0;
     for at in 0..=SPAN_MS + LATE_MS {
@@ -44,7 +44,7 @@
 #[test]
 fn an_owner_that_takes_over_within_a_span_adds_one_bucket_alone() {
     for per_s in [0.5, 1.0, 2.4, 10.0, 100.0] {
-        let depth = limit_terms(RequestRate::per_s(per_s)).depth.ceil();
+        let depth = limit_bucket_params(RequestRate::per_s(per_s)).depth.ceil();
         let both = f64::from(most_granted(per_s)) + depth;
         assert!(both <= borne(per_s), "{per_s}: {both}");
     }
@@ -52,7 +52,7 @@
 
 #[test]
 fn a_target_that_names_nothing_a_second_is_asked_now_and_then() {
-    let terms = limit_terms(RequestRate::per_s(0.0));
+    let terms = limit_bucket_params(RequestRate::per_s(0.0));
     let mut bucket = TokenBucket::full(Millis(0), terms);
     assert!(bucket.take(Millis(0)));
     assert!(!bucket.take(Millis(9_000)));
@@ -102,7 +102,10 @@
         ..limited.clone()
     };
     let now = Millis(1_000);
-    assert_eq!(with(&[&free]).admission(now, &free), Admission::Free);
+    assert_eq!(
+        with(&[&free]).admission(now, &free),
+        Admission::Unrestricted
+    );
     let targets = with(&[&limited]);
     assert_eq!(targets.admission(now, &limited), Admission::Grant);
     assert!(!targets.may_begin(now, &limited), "without a grant");
@@ -121,9 +124,9 @@
         source: ColdSource::Heartbeat,
         said_until: Millis(5_000),
         lasts_ms: 3_000,
-        by_grant: false,
+        requires_grant: false,
         part: 1,
-        part_from: Millis(0),
+        quota_from: Millis(0),
     };
     let both = Candidate {
         cold: Some(Arc::new(cold)),
@@ -133,7 +136,7 @@
     let now = Millis(1_000);
     assert_eq!(targets.admission(now, &both), Admission::Grant);
     targets.started(now, &both.id, 0);
-    assert_eq!(targets.admission(now, &both), Admission::Closed);
+    assert_eq!(targets.admission(now, &both), Admission::Denied);
     let granted = Candidate {
         granted_until: Some(Millis(1_100)),
         ..both.clone()
@@ -156,8 +159,8 @@
 fn a_target_without_a_limit_is_chosen_unasked_and_limited_ones_are_asked_for() {
     let (free, limited) = (target("free", None), target("limited", Some(2.0)));
     let mut targets = with(&[&limited, &free]);
-    let (now, needs) = (Millis(1_000), Needs::default());
-    assert!(targets.are_asked() && !targets.have_agents());
+    let (now, needs) = (Millis(1_000), Requirements::default());
+    assert!(targets.require_queries() && !targets.have_agents());
     for draw in 0..20 {
         let Choice::Send(chosen) = targets.choose(now, needs, draw) else {
             panic!("a free target");
@@ -169,14 +172,20 @@
     assert_eq!(asked(&targets)[0].id, limited.id);
     (0..8).for_each(|_| targets.started(now, &limited.id, 0));
     assert!(asked(&targets).is_empty(), "it has no place");
-    assert!(!with(&[&free]).are_asked());
+    assert!(!with(&[&free]).require_queries());
 }
 
 #[test]
 fn the_wait_for_limited_targets_is_that_of_their_limits() {
     let (one, four) = (target("one", Some(1.0)), target("four", Some(4.0)));
-    let (now, needs) = (Millis(1_000), Needs::default());
-    assert_eq!(with(&[&one, &four]).bounded_gap_ms(now, needs), Some(200.0));
+    let (now, needs) = (Millis(1_000), Requirements::default());
+    assert_eq!(
+        with(&[&one, &four]).rate_limited_interval_ms(now, needs),
+        Some(200.0)
+    );
     let free = target("free", None);
-    assert_eq!(with(&[&one, &free]).bounded_gap_ms(now, needs), None);
+    assert_eq!(
+        with(&[&one, &free]).rate_limited_interval_ms(now, needs),
+        None
+    );
 }
--- a/crates/moleroad_dispatch/tests/overdue.rs
+++ b/crates/moleroad_dispatch/tests/overdue.rs
@@ -7,7 +7,7 @@
 use moleroad_dispatch::prelude::*;
 use moleroad_types::prelude::{AllowedRegions, Millis, Region};
 
-fn waiter(id: u64, line: Line, since: u64) -> Waiter {
+fn waiter(id: u64, line: WaitClass, since: u64) -> Waiter {
     Waiter {
         line,
         id: WaiterId(id),
@@ -22,11 +22,14 @@
 #[test]
 fn requests_that_can_be_in_time_go_before_those_that_cannot() {
     let mut queue = WaitQueue::default();
-    assert!(queue.enter(waiter(1, Line::Overdue, 0)));
-    assert!(queue.enter(waiter(2, Line::Overdue, 5)));
-    assert!(queue.enter(waiter(3, Line::InTime, 90)));
+    assert!(queue.enter(waiter(1, WaitClass::Overdue, 0)));
+    assert!(queue.enter(waiter(2, WaitClass::Overdue, 5)));
+    assert!(queue.enter(waiter(3, WaitClass::InTime, 90)));
     assert_eq!(queue.next(Millis(100), &[]), Some(WaiterId(3)));
-    assert_eq!(queue.len_ahead(Line::Overdue, &AllowedRegions::all()), 2);
+    assert_eq!(
+        queue.count_ahead(WaitClass::Overdue, &AllowedRegions::all()),
+        2
+    );
     // Each line looks for places by itself.
     assert!(queue.is_among_first(1, WaiterId(1), Millis(100)));
     assert!(!queue.is_among_first(1, WaiterId(2), Millis(100)));
@@ -37,7 +40,7 @@
 
 #[test]
 fn the_expected_wait_follows_the_pace_at_which_places_come() {
-    let mut pace = Pace::default();
+    let mut pace = WaitEstimator::default();
     pace.entered(Millis(0), 0);
     for at in 1..=20 {
         pace.granted(Millis(at * 300));
@@ -50,7 +53,7 @@
 
 #[test]
 fn without_places_nobody_more_is_held() {
-    let mut pace = Pace::default();
+    let mut pace = WaitEstimator::default();
     pace.entered(Millis(0), 0);
     pace.entered(Millis(50), 1);
     assert!(pace.expected_wait_ms(Millis(100), 2) < 1_000.0);
@@ -60,10 +63,10 @@
     assert!(pace.expected_wait_ms(Millis(9_000), 0) < 1_000.0);
 }
 
-fn at_least(version: u64) -> Needs<'static> {
-    Needs {
+fn at_least(version: u64) -> Requirements<'static> {
+    Requirements {
         least: Some(version),
-        ..Needs::default()
+        ..Requirements::default()
     }
 }
 
@@ -74,9 +77,9 @@
         version: Some(4),
         ..support::target("engine", 3)
     }]);
-    let overdue = Needs {
+    let overdue = Requirements {
         spare: 1,
-        ..Needs::default()
+        ..Requirements::default()
     };
     let engine = TargetId::new("engine");
     targets.started(Millis(0), &engine, 10);
@@ -86,14 +89,14 @@
     ));
     targets.started(Millis(0), &engine, 10);
     assert_eq!(targets.choose(Millis(0), overdue, 0), Choice::Full);
-    let in_time = Needs::default();
+    let in_time = Requirements::default();
     assert!(matches!(
         targets.choose(Millis(0), in_time, 0),
         Choice::Send(_)
     ));
     assert_eq!(targets.places(&AllowedRegions::all()), 3);
-    assert!(targets.any_serves(at_least(4)));
-    assert!(!targets.any_serves(at_least(5)));
+    assert!(targets.any_eligible(at_least(4)));
+    assert!(!targets.any_eligible(at_least(5)));
 }
 
 #[test]
--- a/crates/moleroad_dispatch/tests/rate_bound.rs
+++ b/crates/moleroad_dispatch/tests/rate_bound.rs
@@ -1,7 +1,7 @@
 //! A bound of requests a second on a target that all entries keep together,
 //! in virtual time.
 
-use moleroad_dispatch::cold::ColdNews;
+use moleroad_dispatch::cold::ColdEvidence;
 use moleroad_dispatch::division::SPAN_MS;
 use moleroad_dispatch::prelude::*;
 use moleroad_dispatch::rate_bound::DELAY_MS;
@@ -109,7 +109,7 @@
         let served_at = at.max(frozen_until);
         let is_given = bucket.take(Millis(served_at.saturating_sub(clock_behind)));
         let sent_at = served_at + attempt.back + attempt.dawdles;
-        if is_given && sent_at <= attempt.at + GRANT_LIFE_MS {
+        if is_given && sent_at <= attempt.at + GRANT_TTL_MS {
             arrivals.push(sent_at + attempt.way);
         }
     }
@@ -189,14 +189,14 @@
                 at += steps[step % steps.len()];
                 step += 1;
                 while lives.first().is_some_and(|life| *life <= at) {
-                    from = may_send_from(Millis(lives.remove(0)), Millis(0));
+                    from = quota_usable_from(Millis(lives.remove(0)), Millis(0));
                     sends = SendTimes::default();
                 }
                 if part > 0 && Millis(at) >= from && sends.has_room(Millis(at), part) {
                     sends.note(Millis(at));
                     // It connects, or stands still, before it sends.
                     let dawdled = dawdles[step % dawdles.len()];
-                    if dawdled <= GRANT_LIFE_MS {
+                    if dawdled <= GRANT_TTL_MS {
                         own.push(at + dawdled + ways[step % ways.len()]);
                     }
                 }
@@ -276,8 +276,8 @@
     let mut bucket = TokenBucket::new(Millis(0), terms);
     assert_eq!(bucket.free(Millis(1_000)), 3);
     let lower = RateBound::new(2.0, 1.0, 0.0).terms().expect("terms");
-    assert!(bucket.set_terms(Millis(1_000), lower));
-    assert!(!bucket.set_terms(Millis(1_000), lower));
+    assert!(bucket.set_params(Millis(1_000), lower));
+    assert!(!bucket.set_params(Millis(1_000), lower));
     assert_eq!(bucket.free(Millis(1_000)), 1);
 }
 
@@ -302,8 +302,8 @@
     assert_eq!(division.part_of("alone", &[], "target"), 1);
 }
 
-fn news(heard: u64, left_ms: u64) -> ColdNews {
-    ColdNews {
+fn news(heard: u64, left_ms: u64) -> ColdEvidence {
+    ColdEvidence {
         lasts_ms: 3_000,
         first_heard: Millis(1_000),
         heard: Millis(heard),
@@ -326,7 +326,7 @@
         (Millis(4_500), ColdSource::Heartbeat)
     );
     // Its data hall was taken back after it last spoke, and before.
-    let restored = |at| ColdNews {
+    let restored = |at| ColdEvidence {
         restored: Some(Millis(at)),
         ..news(8_000, 0)
     };
--- a/crates/moleroad_dispatch/tests/residency.rs
+++ b/crates/moleroad_dispatch/tests/residency.rs
@@ -40,10 +40,10 @@
     targets
 }
 
-fn allowed_in(regions: &AllowedRegions) -> Needs<'_> {
-    Needs {
+fn allowed_in(regions: &AllowedRegions) -> Requirements<'_> {
+    Requirements {
         regions: Some(regions),
-        ..Needs::default()
+        ..Requirements::default()
     }
 }
 
@@ -70,7 +70,7 @@
         targets.started(Millis(0), &TargetId::new("t1"), 0);
     }
     assert_eq!(targets.choose(Millis(1), allowed_in(&far), 7), Choice::Full);
-    assert!(targets.any_serves(allowed_in(&far)));
+    assert!(targets.any_eligible(allowed_in(&far)));
 }
 
 #[test]
@@ -81,7 +81,7 @@
         targets.choose(Millis(1), allowed_in(&empty), 7),
         Choice::Nobody
     );
-    assert!(!targets.any_serves(allowed_in(&empty)));
+    assert!(!targets.any_eligible(allowed_in(&empty)));
     let none = only(&[]);
     assert_eq!(
         targets.choose(Millis(1), allowed_in(&none), 7),
@@ -104,14 +104,14 @@
     candidates[2].version = Some(1);
     let tried = [3, 0, 6].map(|number: usize| candidates[number].id.clone());
     let regions = only(&["r1"]);
-    let needs = Needs {
+    let needs = Requirements {
         now: Millis(8),
         tried: &tried,
         least: Some(2),
         regions: Some(&regions),
-        ..Needs::default()
+        ..Requirements::default()
     };
-    let expected = BarrierTally {
+    let expected = ExclusionCounts {
         region: 2,
         evacuated: 1,
         old_weights: 1,
@@ -142,12 +142,12 @@
         let drawn = targets.shortlist(Millis(1), needs, reach, 99);
         drawn.into_iter().map(|candidate| candidate.id).collect()
     };
-    for reach in [Reach::Near, Reach::Far] {
-        let any = ids(Needs::default(), reach).len();
+    for reach in [SearchScope::OwnRegion, SearchScope::OtherRegions] {
+        let any = ids(Requirements::default(), reach).len();
         assert_eq!(ids(allowed_in(&home), reach).len(), any, "{reach:?}");
     }
-    let near = ids(allowed_in(&home), Reach::Near);
-    let far = ids(allowed_in(&home), Reach::Far);
+    let near = ids(allowed_in(&home), SearchScope::OwnRegion);
+    let far = ids(allowed_in(&home), SearchScope::OtherRegions);
     assert!(
         far.iter().all(|id| !near.contains(id)),
         "none is asked twice"
@@ -157,7 +157,7 @@
 fn waiter(id: u64, regions: &AllowedRegions) -> Waiter {
     Waiter {
         id: WaiterId(id),
-        line: Line::InTime,
+        line: WaitClass::InTime,
         priority: 1,
         since: Millis(id),
         wanted_by: Millis(1_000),
@@ -183,8 +183,8 @@
     assert!(queue.is_among_first(1, WaiterId(3), now));
     assert!(!queue.is_among_first(1, WaiterId(2), now));
     // One that may go anywhere waits for the places of the home as well.
-    assert_eq!(queue.len_ahead(Line::InTime, &home), 3);
-    assert_eq!(queue.len_ahead(Line::InTime, &all), 1);
+    assert_eq!(queue.count_ahead(WaitClass::InTime, &home), 3);
+    assert_eq!(queue.count_ahead(WaitClass::InTime, &all), 1);
 }
 
 #[test]
@@ -259,7 +259,7 @@
 fn choose(
     targets: &mut Targets,
     now: Millis,
-    needs: Needs<'_>,
+    needs: Requirements<'_>,
     how: &Happening,
 ) -> Option<Candidate> {
     match how {
@@ -268,8 +268,8 @@
             Choice::Full | Choice::Nobody => None,
         },
         Happening::Ask { draw, evacuated } => {
-            let mut asked = targets.shortlist(now, needs, Reach::Near, *draw);
-            asked.extend(targets.shortlist(now, needs, Reach::Far, *draw));
+            let mut asked = targets.shortlist(now, needs, SearchScope::OwnRegion, *draw);
+            asked.extend(targets.shortlist(now, needs, SearchScope::OtherRegions, *draw));
             let mut changed = targets.candidates().to_vec();
             if let Some(candidate) = changed.get_mut(*evacuated) {
                 candidate.evacuated = true;
@@ -312,8 +312,8 @@
                 }
                 Happening::Send { .. } | Happening::Ask { .. } => {
                     let allowed = route.and(&account);
-                    let needs = Needs { tried: &tried, regions: Some(&allowed), ..Needs::default() };
-                    let could = targets.any_serves(needs);
+                    let needs = Requirements { tried: &tried, regions: Some(&allowed), ..Requirements::default() };
+                    let could = targets.any_eligible(needs);
                     let sent = choose(&mut targets, now, needs, happening);
                     if let Some(sent) = sent {
                         prop_assert!(could);
--- a/crates/moleroad_dispatch/tests/rest.rs
+++ b/crates/moleroad_dispatch/tests/rest.rs
@@ -16,8 +16,8 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-fn life(id: &str, born_ms: u64) -> Answerer {
-    Answerer {
+fn life(id: &str, born_ms: u64) -> Responder {
+    Responder {
         address: address(1),
         target: TargetId::new(id),
         born_ms,
@@ -41,10 +41,10 @@
     targets
 }
 
-fn at(now: u64) -> Needs<'static> {
-    Needs {
+fn at(now: u64) -> Requirements<'static> {
+    Requirements {
         now: Millis(now),
-        ..Needs::default()
+        ..Requirements::default()
     }
 }
 
@@ -77,15 +77,18 @@
         ("Wed, 21 Oct 2026 07:28:00 GMT", None),
     ];
     for (text, expected) in read {
-        assert_eq!(read_rest_ms(text), expected, "{text:?}");
+        assert_eq!(parse_retry_after_ms(text), expected, "{text:?}");
     }
-    assert_eq!(read_rest_ms(&"9".repeat(400)), Some(LONGEST_REST_MS));
+    assert_eq!(
+        parse_retry_after_ms(&"9".repeat(400)),
+        Some(LONGEST_REST_MS)
+    );
 }
 
 proptest! {
     #[test]
     fn no_value_gives_more_than_the_longest_rest(text in "\\PC*") {
-        prop_assert!(read_rest_ms(&text).is_none_or(|ms| ms <= LONGEST_REST_MS));
+        prop_assert!(parse_retry_after_ms(&text).is_none_or(|ms| ms <= LONGEST_REST_MS));
     }
 }
 
@@ -108,7 +111,7 @@
     // Another target at the address, born since.
     assert_eq!(rests.until(Millis(200), &life("u", ANSWERED + 1)), None);
     // It rests from the address that it answered from alone.
-    let elsewhere = Answerer {
+    let elsewhere = Responder {
         address: address(2),
         ..life("t", 7)
     };
@@ -136,7 +139,7 @@
     assert_eq!(rests.until(Millis(200), &life("t", 9)), until);
     assert_eq!(rests.until(Millis(200), &life("u", 9)), None);
     let record = TargetRecord::new(TargetId::new("t"), "service", address(1));
-    assert_eq!(rests.until(Millis(200), &Answerer::of(&record)), until);
+    assert_eq!(rests.until(Millis(200), &Responder::of(&record)), until);
 }
 
 #[test]
@@ -147,13 +150,13 @@
     for (now, rests) in [(49, true), (50, false)] {
         let chosen = targets.choose(Millis(now), at(now), 1);
         assert_eq!(matches!(chosen, Choice::Send(_)), !rests);
-        let listed = targets.shortlist(Millis(now), at(now), Reach::Near, 1);
+        let listed = targets.shortlist(Millis(now), at(now), SearchScope::OwnRegion, 1);
         assert_eq!(listed.is_empty(), rests);
         let looked_at = [candidate(1, None)];
         let best = targets.best_of(Millis(now), at(now), &looked_at);
         assert_eq!(best.is_none(), rests, "what is known now counts");
         assert_eq!(targets.is_open(&id, at(now)), !rests);
-        assert_eq!(targets.any_serves(at(now)), !rests);
+        assert_eq!(targets.any_eligible(at(now)), !rests);
         let free = targets.free_places(Millis(now), &all);
         assert_eq!(free, if rests { 0.0 } else { 2.0 });
     }
@@ -162,7 +165,7 @@
 #[test]
 fn the_first_to_have_rested_is_known_where_nobody_else_serves() {
     let rested = |any, untried: Option<u64>| {
-        Some(Rested {
+        Some(BackoffEnds {
             any: Millis(any),
             untried: untried.map(Millis),
         })
@@ -175,7 +178,7 @@
     assert_eq!(targets(&[Some(50), Some(40)]).rested_at(at(45)), None);
     // One that had the request takes it only when it comes again.
     let tried = [TargetId::new("t2"), TargetId::new("t1")];
-    let needs = |count: usize| Needs {
+    let needs = |count: usize| Requirements {
         tried: &tried[..count],
         ..at(10)
     };
@@ -187,11 +190,11 @@
 #[test]
 fn a_wish_reaches_a_target_that_is_listed_already() {
     let mut targets = targets(&[None, None]);
-    targets.set_rest(&TargetId::new("t1"), Some(Millis(50)));
+    targets.set_backoff(&TargetId::new("t1"), Some(Millis(50)));
     for draw in 0..20 {
         let chosen = targets.choose(Millis(10), at(10), draw);
         assert!(matches!(chosen, Choice::Send(c) if c.id == TargetId::new("t2")));
     }
-    targets.set_rest(&TargetId::new("t1"), None);
+    targets.set_backoff(&TargetId::new("t1"), None);
     assert!(targets.is_open(&TargetId::new("t1"), at(10)));
 }
--- a/crates/moleroad_dispatch/tests/support/mod.rs
+++ b/crates/moleroad_dispatch/tests/support/mod.rs
@@ -13,7 +13,7 @@
         id: TargetId::new(name),
         address: "127.0.0.1:1".parse().expect("an address"),
         slots,
-        most_own: slots,
+        max_own: slots,
         share: slots,
         distance: Distance::SameHall,
         region: Region::new("r"),
--- a/crates/moleroad_gateway/src/acquire.rs
+++ b/crates/moleroad_gateway/src/acquire.rs
@@ -6,7 +6,7 @@
 use crate::probe;
 use crate::refusal::refused_at_once;
 use moleroad_dispatch::prelude::*;
-use moleroad_quarantine::prelude::{RequestFingerprint, TargetLifeId};
+use moleroad_quarantine::prelude::{RequestFingerprint, TargetIncarnation};
 use moleroad_types::prelude::Millis;
 use std::sync::Arc;
 use tokio::sync::oneshot;
@@ -22,10 +22,10 @@
 /// side: engines that come back together have hundreds of places at once.
 const OVERDUE_LOOKING: usize = 3;
 
-fn look_again_ms(line: Line) -> u64 {
+fn look_again_ms(line: WaitClass) -> u64 {
     match line {
-        Line::InTime => LOOK_AGAIN_MS,
-        Line::Overdue => OVERDUE_LOOK_AGAIN_MS,
+        WaitClass::InTime => LOOK_AGAIN_MS,
+        WaitClass::Overdue => OVERDUE_LOOK_AGAIN_MS,
     }
 }
 
@@ -49,10 +49,10 @@
     /// The target.
     pub candidate: Candidate,
     /// Its life that gets the request.
-    pub life: TargetLifeId,
+    pub life: TargetIncarnation,
     /// What the target was sent, and until when it works on that.
     sent: Option<(RequestFingerprint, Millis)>,
-    line: Line,
+    line: WaitClass,
     unread_tokens: Option<u64>,
     outcome: Outcome,
 }
@@ -60,7 +60,7 @@
 impl Place {
     fn new(node: &Arc<Node>, ask: &Ask, candidate: Candidate) -> Self {
         let belief = belief(node, ask, &candidate);
-        if ask.line == Line::Overdue
+        if ask.line == WaitClass::Overdue
             && let Some(places) = node.view().services.get_mut(&ask.service)
         {
             places.overdue_share.started(&candidate.region);
@@ -79,8 +79,8 @@
     }
 
     /// Whose answers come from there.
-    pub fn answerer(&self) -> Answerer {
-        Answerer {
+    pub fn answerer(&self) -> Responder {
+        Responder {
             address: self.candidate.address,
             target: self.life.target.clone(),
             born_ms: self.life.born_ms,
@@ -135,7 +135,7 @@
             places
                 .targets
                 .finished(now, &self.candidate.id, self.outcome);
-            if self.line == Line::Overdue {
+            if self.line == WaitClass::Overdue {
                 places.overdue_share.ended(&self.candidate.region);
             }
             places.serve_waiting(now, least);
@@ -179,12 +179,12 @@
     let nobody_waits = {
         let view = node.view();
         let Some(places) = view.services.get(&ask.service) else {
-            return Err(no_place(now, None, Needs::default(), 1));
+            return Err(no_place(now, None, Requirements::default(), 1));
         };
         if let Some(refused) = refused_at_once(node, &view, ask) {
             return Err(refused);
         }
-        let ahead = places.queue.len_ahead(ask.line, ask.residency.allowed());
+        let ahead = places.queue.count_ahead(ask.line, ask.residency.allowed());
         ahead == 0 && places.admits(ask, view.entry_count(now))
     };
     if nobody_waits && let Some(candidate) = probe::find(node, ask).await {
@@ -258,12 +258,12 @@
     let places = view.services.get(&ask.service);
     places.is_some_and(|places| {
         let count = match ask.line {
-            Line::InTime => 1,
-            Line::Overdue => OVERDUE_LOOKING,
+            WaitClass::InTime => 1,
+            WaitClass::Overdue => OVERDUE_LOOKING,
         };
         let now = node.clock.now();
         let is_admitted = places.admits(ask, view.entry_count(now));
-        let asks = places.targets.are_asked() && is_admitted;
+        let asks = places.targets.require_queries() && is_admitted;
         asks && places.queue.is_among_first(count, id, now)
     })
 }
--- a/crates/moleroad_gateway/src/agent/bring.rs
+++ b/crates/moleroad_gateway/src/agent/bring.rs
@@ -9,7 +9,7 @@
 use crate::node::Node;
 use crate::peer::CatalogModel;
 use moleroad_directory::target::whole_version;
-use moleroad_rollout::prelude::{Pause, fallback};
+use moleroad_rollout::prelude::{Backoff, fallback};
 use moleroad_types::prelude::Millis;
 use std::sync::Arc;
 use std::time::Duration;
@@ -37,7 +37,7 @@
     tokio::spawn(take(node.clone(), handed));
     let mut missed: Option<(u64, Millis)> = None;
     let mut stuck: Option<u64> = None;
-    let mut origin_pause = Pause::default();
+    let mut origin_pause = Backoff::default();
     loop {
         tokio::time::sleep(LOOK_EVERY).await;
         let Some(newest) = wanted(&node) else {
--- a/crates/moleroad_gateway/src/agent/change.rs
+++ b/crates/moleroad_gateway/src/agent/change.rs
@@ -207,7 +207,7 @@
     WavePlan {
         engines,
         turn_ms,
-        begin_from_ms: (copy_ms * COPY_SLOWNESS) as u64,
-        begin_by_ms: last_ms.saturating_sub(turn_ms + SAFETY_MS),
+        earliest_start_ms: (copy_ms * COPY_SLOWNESS) as u64,
+        latest_start_ms: last_ms.saturating_sub(turn_ms + SAFETY_MS),
     }
 }
--- a/crates/moleroad_gateway/src/agent/choice.rs
+++ b/crates/moleroad_gateway/src/agent/choice.rs
@@ -22,7 +22,7 @@
     members: Vec<Member>,
     looked_at: Millis,
     /// How each piece spreads.
-    pub spread: Arc<Spread>,
+    pub spread: Arc<DistributionTrees>,
 }
 
 impl Membership {
@@ -31,7 +31,7 @@
         Self {
             members: Vec::new(),
             looked_at: Millis(0),
-            spread: Arc::new(Spread::new(own, &[], None, 0)),
+            spread: Arc::new(DistributionTrees::new(own, &[], None, 0)),
         }
     }
 }
@@ -78,7 +78,8 @@
                 far: holders.far.len(),
                 far_known_ms: now.since(known_at.unwrap_or(now)),
             };
-            let Some((kind, order)) = source_of(known, &self.membership.spread, &conditions) else {
+            let Some((kind, order)) = choose_source(known, &self.membership.spread, &conditions)
+            else {
                 continue;
             };
             let is_later = best.as_ref().is_some_and(|(_, _, known)| order >= *known);
@@ -87,8 +88,8 @@
             }
             let source = match kind {
                 SourceKind::Offer => holders.offers.first().copied().map(Source::Agent),
-                SourceKind::Near => drawn(&holders.near).map(Source::Agent),
-                SourceKind::Far => drawn(&holders.far).map(Source::Agent),
+                SourceKind::OwnRegion => drawn(&holders.near).map(Source::Agent),
+                SourceKind::OtherRegions => drawn(&holders.far).map(Source::Agent),
                 SourceKind::Origin => {
                     let mut free = origins.iter().map(|origin| Source::Origin(*origin));
                     free.find(|source| !self.rests(now, piece, *source))
@@ -103,29 +104,29 @@
 
     /// What the choice depends on beside the piece, and the origins that can be
     /// asked.
-    fn conditions(&self, now: Millis, missing: &[u32]) -> (Conditions, Vec<SocketAddr>) {
+    fn conditions(&self, now: Millis, missing: &[u32]) -> (FetchConditions, Vec<SocketAddr>) {
         let own_link_kbps = link_kbps(&self.node);
         let view = self.node.view();
         let others = fellows(&view, now);
         let origins = self.free_origins(now, &view.catalog.origins);
-        let conditions = Conditions {
+        let conditions = FetchConditions {
             patience: self.patience,
             elapsed_ms: now.since(self.divided_at),
             turns: self.turns.clone(),
             origin_piece_ms: self.origin_piece_ms(&view),
             link_piece_ms: self.piece_ms(own_link_kbps),
-            origin_is_free: !origins.is_empty(),
+            can_ask_origin: !origins.is_empty(),
             origin_failed_ms: self.origin_failed_at.map(|failed| now.since(failed)),
-            may_cross: !self.crosses_regions(&others),
+            may_cross_regions: !self.crosses_regions(&others),
             newest_seen: self.newest_seen(missing),
         };
         (conditions, origins)
     }
 
     /// Tells others which pieces this agent draws from the origin.
-    fn announce_due(&mut self, missing: &[u32], conditions: &Conditions) {
+    fn announce_due(&mut self, missing: &[u32], conditions: &FetchConditions) {
         let spread = self.membership.spread.clone();
-        let is_due = |piece: &&u32| announces(**piece, &spread, conditions);
+        let is_due = |piece: &&u32| should_announce(**piece, &spread, conditions);
         for piece in missing.iter().filter(is_due) {
             self.announce(*piece);
         }
@@ -165,7 +166,7 @@
         }
         let region = origin_region(&self.node, &view);
         let parts = self.wanted.model.parts();
-        let spread = Spread::new(&view.own.instance, &members, region.as_deref(), parts);
+        let spread = DistributionTrees::new(&view.own.instance, &members, region.as_deref(), parts);
         self.membership.spread = Arc::new(spread);
         self.membership.members = members;
     }
@@ -234,7 +235,7 @@
 
     /// Origins that take another connection from this agent.
     fn free_origins(&self, now: Millis, origins: &[CatalogOrigin]) -> Vec<SocketAddr> {
-        if self.origin_pause.lasts(now) {
+        if self.origin_pause.is_active(now) {
             return Vec::new();
         }
         let agents = self.membership.members.len();
--- a/crates/moleroad_gateway/src/agent/cold.rs
+++ b/crates/moleroad_gateway/src/agent/cold.rs
@@ -99,7 +99,7 @@
         };
         let empty = TokenBucket::new(state.fills_from, terms);
         let grants = state.grants.get_or_insert(empty);
-        grants.set_terms(now, terms);
+        grants.set_params(now, terms);
         let is_given = grants.take(now);
         state.asked += 1;
         state.given += u32::from(is_given);
--- a/crates/moleroad_gateway/src/agent/digests.rs
+++ b/crates/moleroad_gateway/src/agent/digests.rs
@@ -24,14 +24,14 @@
     node: &Arc<Node>,
     wanted: &Wanted,
     idle_ms: u64,
-    origin_pause: &mut Pause,
+    origin_pause: &mut Backoff,
 ) -> Option<PieceDigests> {
     let model = &wanted.model.model;
     if let Some(digests) = node.known_digests(model, wanted.version) {
         return piece_digests(wanted, SharedDigests(digests));
     }
     let (holders, is_own_turn, origins) = digest_sources(node, wanted, idle_ms);
-    let mut asked = AskedHolder::NobodyKnows;
+    let mut asked = DigestQueryResult::NoHolderReached;
     let draw = rand::random::<u32>() as usize;
     if let Some(holder) = holders.get(draw % holders.len().max(1)) {
         let (model, version) = (wanted.model.model.clone(), wanted.version);
@@ -40,12 +40,14 @@
         };
         match node.peers.call(*holder, DIGESTS_TIMEOUT, call).await {
             Ok(Some(shared)) => return learned(node, wanted, shared),
-            Ok(None) if holds_pieces(node, *holder, wanted) => asked = AskedHolder::HasPiecesOnly,
+            Ok(None) if holds_pieces(node, *holder, wanted) => {
+                asked = DigestQueryResult::PiecesOnly
+            }
             Ok(None) | Err(_) => {}
         }
     }
     let may_ask_origin =
-        may_ask_origin_for_digests(is_own_turn, asked) && !origin_pause.lasts(node.clock.now());
+        may_ask_origin_for_digests(is_own_turn, asked) && !origin_pause.is_active(node.clock.now());
     for origin in origins.iter().filter(|_| may_ask_origin) {
         let asked = node
             .interface
@@ -94,13 +96,13 @@
 }
 
 /// The trees of a version's pieces over the agents that are known now.
-pub fn spread_of(node: &Node, wanted: &Wanted) -> Spread {
+pub fn spread_of(node: &Node, wanted: &Wanted) -> DistributionTrees {
     let view = node.view();
     let others = fellows(&view, node.clock.now());
     let members = members(&view.own, &others, wanted);
     let region = origin_region(node, &view);
     let parts = wanted.model.parts();
-    Spread::new(&view.own.instance, &members, region.as_deref(), parts)
+    DistributionTrees::new(&view.own.instance, &members, region.as_deref(), parts)
 }
 
 fn digest_sources(
@@ -109,7 +111,7 @@
     idle_ms: u64,
 ) -> (Vec<SocketAddr>, bool, Vec<CatalogOrigin>) {
     let spread = spread_of(node, wanted);
-    let patience = Patience::for_pieces(wanted.model.piece_bytes, node.settings.link_mbps);
+    let patience = TakeoverTimeouts::for_pieces(wanted.model.piece_bytes, node.settings.link_mbps);
     let allowed = spread.permission(wanted.model.digests_part(), patience, idle_ms);
     let view = node.view();
     let own = &view.own;
--- a/crates/moleroad_gateway/src/agent/fetch.rs
+++ b/crates/moleroad_gateway/src/agent/fetch.rs
@@ -61,7 +61,7 @@
     pub(super) is_fallback: bool,
     digests: PieceDigests,
     pub(super) membership: Membership,
-    pub(super) patience: Patience,
+    pub(super) patience: TakeoverTimeouts,
     /// When others were last told that a piece is drawn here.
     announced: HashMap<u32, Millis>,
     /// Pieces that were asked for, and whom.
@@ -77,8 +77,8 @@
     /// fetch, or when pieces came again after a stall.
     pub(super) divided_at: Millis,
     /// The pieces that were divided then.
-    pub(super) turns: Turns,
-    pub(super) origin_pause: Pause,
+    pub(super) turns: OriginSchedule,
+    pub(super) origin_pause: Backoff,
     /// When the origin last gave nothing.
     pub(super) origin_failed_at: Option<Millis>,
     from_origin: u32,
@@ -130,7 +130,7 @@
             is_fallback,
             digests,
             membership: Membership::new(&own),
-            patience: Patience::for_pieces(model.piece_bytes, node.settings.link_mbps),
+            patience: TakeoverTimeouts::for_pieces(model.piece_bytes, node.settings.link_mbps),
             announced: HashMap::new(),
             under_way: HashMap::new(),
             resting: HashMap::new(),
@@ -138,8 +138,8 @@
             progress_at: now,
             began_at: now,
             divided_at,
-            turns: Turns::all(),
-            origin_pause: Pause::of_at_most(LONGEST_ORIGIN_PAUSE_MS),
+            turns: OriginSchedule::all(),
+            origin_pause: Backoff::with_max(LONGEST_ORIGIN_PAUSE_MS),
             origin_failed_at: None,
             from_origin: 0,
             not_given: 0,
@@ -244,7 +244,7 @@
     /// origin is asked at once.
     fn divide_anew(&mut self, now: Millis, source: Source) {
         self.divided_at = now;
-        self.turns = Turns::of_missing(&self.missing());
+        self.turns = OriginSchedule::of_missing(&self.missing());
         self.origin_pause.end();
         // That another agent has pieces does not say that the origin gives them
         // to all: ranks still come back one after the other.
--- a/crates/moleroad_gateway/src/agent/offers.rs
+++ b/crates/moleroad_gateway/src/agent/offers.rs
@@ -1,5 +1,5 @@
 //! Offers: who offered which piece to this agent, and telling the agents below
-//! it in the tree of a piece ([`Spread`]) what it has.
+//! it in the tree of a piece ([`DistributionTrees`]) what it has.
 //!
 //! An offer arrives within milliseconds, news by way of relays after some
 //! hundred. Whoever misses an offer still finds the piece by the directory.
@@ -10,7 +10,7 @@
 use crate::peer::{CatalogModel, Offer, PeerClient, SharedDigests};
 use futures::StreamExt;
 use futures::stream::FuturesUnordered;
-use moleroad_rollout::prelude::Spread;
+use moleroad_rollout::prelude::DistributionTrees;
 use moleroad_types::prelude::{InstanceId, Millis};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -129,7 +129,7 @@
 }
 
 /// Tells the agents below this one what it has of a version.
-pub fn pass_on(node: &Arc<Node>, spread: &Arc<Spread>, wanted: &Wanted, offer: Offer) {
+pub fn pass_on(node: &Arc<Node>, spread: &Arc<DistributionTrees>, wanted: &Wanted, offer: Offer) {
     let telling = Telling::new(node, spread, wanted, offer);
     let own = node.view().own.instance.clone();
     let below = telling.children(&own);
@@ -140,7 +140,7 @@
 /// it comes, or that it is here.
 pub fn tell_of_draw(
     node: &Arc<Node>,
-    spread: &Arc<Spread>,
+    spread: &Arc<DistributionTrees>,
     wanted: &Wanted,
     piece: u32,
     offer: Offer,
@@ -153,14 +153,19 @@
 /// An offer on its way to the agents below this one.
 struct Telling {
     node: Arc<Node>,
-    spread: Arc<Spread>,
+    spread: Arc<DistributionTrees>,
     model: CatalogModel,
     version: u64,
     offer: Offer,
 }
 
 impl Telling {
-    fn new(node: &Arc<Node>, spread: &Arc<Spread>, wanted: &Wanted, offer: Offer) -> Self {
+    fn new(
+        node: &Arc<Node>,
+        spread: &Arc<DistributionTrees>,
+        wanted: &Wanted,
+        offer: Offer,
+    ) -> Self {
         Self {
             node: node.clone(),
             spread: spread.clone(),
--- a/crates/moleroad_gateway/src/agent/overtaken.rs
+++ b/crates/moleroad_gateway/src/agent/overtaken.rs
@@ -6,7 +6,7 @@
 use crate::agent::offers::offers;
 use crate::view::leaves_older_after_ms;
 use moleroad_directory::prelude::DaemonRecord;
-use moleroad_rollout::prelude::Overtaking;
+use moleroad_rollout::prelude::SupersededFetch;
 
 /// Time for an engine to take weights that are here, in milliseconds: its running
 /// requests end, and it takes the order.
@@ -24,11 +24,11 @@
         if wanted(&self.node).map(|now| now.version) == Some(self.wanted.version) {
             return false;
         }
-        self.overtaking().gives_up()
+        self.overtaking().should_abandon()
     }
 
     /// What is known of this version and of newer ones.
-    fn overtaking(&self) -> Overtaking {
+    fn overtaking(&self) -> SupersededFetch {
         let now = self.node.clock.now();
         let missing = self.missing();
         let view = self.node.view();
@@ -47,22 +47,22 @@
         let is_out = |piece: &u32| {
             !offers.of(version, *piece).is_empty() || others.iter().any(|other| has(other, *piece))
         };
-        let not_out = missing.iter().filter(|piece| !is_out(piece)).count() as u32;
+        let unreleased = missing.iter().filter(|piece| !is_out(piece)).count() as u32;
         let named = view.named.get(&model.model);
         let newer = named.map_or(0, |named| named.versions().filter(|v| *v > version).count());
         let newest_named_at = named.and_then(|named| named.waiting_since(version));
         let usable_for_ms = leaves_older_after_ms(self.node.settings.bounds.version_ms);
-        Overtaking {
+        SupersededFetch {
             pieces: model.pieces,
             missing: missing.len() as u32,
-            not_out,
+            unreleased,
             is_fallback: self.is_fallback,
             idle_ms: self.idle_ms(),
             patience: self.patience,
             newer,
-            newer_comes: others.iter().any(has_newer),
+            newer_released: others.iter().any(has_newer),
             usable_ms: newest_named_at.map_or(0, |at| (at + usable_for_ms).since(now)),
-            finish_ms: u64::from(not_out) * origin_piece_ms + TAKE_OVER_MS,
+            finish_ms: u64::from(unreleased) * origin_piece_ms + TAKE_OVER_MS,
         }
     }
 }
--- a/crates/moleroad_gateway/src/candidates.rs
+++ b/crates/moleroad_gateway/src/candidates.rs
@@ -38,7 +38,7 @@
             entry: entry.instance.as_str(),
             requests_per_s: f64::from(entry.requests_per_s),
         });
-        let shares = Shares::new(&settings.instance, demands);
+        let shares = SlotShares::new(&settings.instance, demands);
         let entries = entries().count();
         let agents = self.directory.agents();
         let mut lists: HashMap<&str, Vec<Candidate>> = HashMap::new();
@@ -64,7 +64,7 @@
                 candidate.cold = colds.get(&record.id).cloned();
                 let limit = self.limited_target(now, settings, service, record, candidate.agent);
                 candidate.limit = limit.map(Arc::new);
-                candidate.rests_until = self.rests.until(now, &Answerer::of(record));
+                candidate.rests_until = self.rests.until(now, &Responder::of(record));
                 if self.is_cold_by_grant(now, &service.name, &candidate) {
                     // Others may have heard of its agent before.
                     let agent = settings.peer_address_at(record.address.ip());
@@ -97,7 +97,7 @@
     /// Whether requests go to the target on grants only, now.
     fn is_cold_by_grant(&self, now: Millis, service: &str, candidate: &Candidate) -> bool {
         let cold = candidate.cold.as_deref();
-        let Some(cold) = cold.filter(|cold| cold.by_grant) else {
+        let Some(cold) = cold.filter(|cold| cold.requires_grant) else {
             return false;
         };
         let places = self.services.get(service);
@@ -138,9 +138,9 @@
 }
 
 /// How fast engines of the service read prompts; `None` when it is not known.
-pub(crate) fn reading_speed(service: &Service) -> Option<ReadingSpeed> {
+pub(crate) fn reading_speed(service: &Service) -> Option<PrefillSpeed> {
     let steps = service.steps?;
-    (steps.prompt_tokens_per_s > 0.0).then(|| ReadingSpeed {
+    (steps.prompt_tokens_per_s > 0.0).then(|| PrefillSpeed {
         tokens_per_ms: steps.prompt_tokens_per_s / 1_000.0,
         usual_prompt: steps.usual_prompt,
         steps_ms: steps.step_ms * steps.steps_per_pass.max(1) as f64 * STEP_SLOWNESS,
@@ -154,7 +154,7 @@
     record: &TargetRecord,
     report: Option<&EngineReport>,
     entries: usize,
-    shares: &Shares,
+    shares: &SlotShares,
     evacuated: bool,
 ) -> Option<Candidate> {
     let version = match service.models.first() {
@@ -170,7 +170,7 @@
     let slots = record.slots.max(1);
     let count = entries.max(1) as f64;
     let connections = f64::from(service.max_connections) * CONNECTIONS_USED / count;
-    let most_own = if service.max_connections == 0 {
+    let max_own = if service.max_connections == 0 {
         slots
     } else {
         (connections as u32).clamp(1, slots)
@@ -188,7 +188,7 @@
         id: record.id.clone(),
         address: record.address,
         slots,
-        most_own,
+        max_own,
         share: if settings.experiments.has(Mechanism::SharedPlaces) {
             shares.of(record.id.as_str(), slots)
         } else {
--- a/crates/moleroad_gateway/src/cold_news.rs
+++ b/crates/moleroad_gateway/src/cold_news.rs
@@ -66,17 +66,17 @@
 /// Whether the targets of the service have agents beside them that are asked: engines
 /// do, where the choice goes by how fast prompts are read.
 pub(crate) fn has_asked_agents(settings: &Settings, service: &Service) -> bool {
-    let are_asked = settings.experiments.has(Mechanism::AskedAgents);
-    !service.models.is_empty() && reading_speed(service).is_some() && are_asked
+    let require_queries = settings.experiments.has(Mechanism::AskedAgents);
+    !service.models.is_empty() && reading_speed(service).is_some() && require_queries
 }
 
 /// Whether a bound on cold targets of the service is kept, and whether by grants.
 fn way(settings: &Settings, service: &Service) -> Option<(ColdStart, bool)> {
     let start = service.cold_start?;
     let has = |mechanism| settings.experiments.has(mechanism);
-    let by_grant = has_asked_agents(settings, service) && has(Mechanism::ColdGrants);
-    let is_kept = by_grant || has(Mechanism::ColdDivision);
-    is_kept.then_some((start, by_grant))
+    let requires_grant = has_asked_agents(settings, service) && has(Mechanism::ColdGrants);
+    let is_kept = requires_grant || has(Mechanism::ColdDivision);
+    is_kept.then_some((start, requires_grant))
 }
 
 impl View {
@@ -97,17 +97,17 @@
         let mut cold_targets = HashMap::new();
         for heard in self.directory.targets() {
             let id = &heard.record.id;
-            let Some((start, by_grant)) = table
+            let Some((start, requires_grant)) = table
                 .service(&heard.record.service)
                 .and_then(|service| way(settings, service))
             else {
                 continue;
             };
             let cold = ColdTarget {
-                by_grant,
+                requires_grant,
                 ..self.cold_target(settings, start, heard)
             };
-            let cold = cold.with_part(&settings.instance, &entries, id.as_str());
+            let cold = cold.with_quota(&settings.instance, &entries, id.as_str());
             cold_targets.insert(id.clone(), Arc::new(cold));
         }
         for heard in self.directory.targets() {
@@ -126,7 +126,7 @@
     ) -> ColdTarget {
         let id = &heard.record.id;
         let first_heard = self.cold.first_heard(id);
-        let news = ColdNews {
+        let news = ColdEvidence {
             lasts_ms: start.lasts_ms,
             first_heard,
             heard: heard.at,
@@ -142,9 +142,9 @@
             source,
             said_until: news.said_until(),
             lasts_ms: start.lasts_ms,
-            by_grant: false,
+            requires_grant: false,
             part: 0,
-            part_from: may_send_from(self.cold.began.unwrap_or_default(), first_heard),
+            quota_from: quota_usable_from(self.cold.began.unwrap_or_default(), first_heard),
         }
     }
 }
--- a/crates/moleroad_gateway/src/control_state.rs
+++ b/crates/moleroad_gateway/src/control_state.rs
@@ -191,7 +191,7 @@
     pub fn hold_left_ms(&self, now: UnixMillis, request: &RequestFingerprint) -> Option<u64> {
         let until = self.holds.until(request)?;
         let left_ms = self.holds.left_ms(now, request)?;
-        (!self.reviews.end_hold(request, until)).then_some(left_ms)
+        (!self.reviews.ends_hold(request, until)).then_some(left_ms)
     }
 
     /// Whether another document is held here under the version that `decided` holds.
--- a/crates/moleroad_gateway/src/front/attempt.rs
+++ b/crates/moleroad_gateway/src/front/attempt.rs
@@ -12,7 +12,7 @@
 use bytes::Bytes;
 use moleroad_config::prelude::Repeatability;
 use moleroad_directory::prelude::TargetId;
-use moleroad_dispatch::prelude::{Choice, Needs, Outcome};
+use moleroad_dispatch::prelude::{Choice, Outcome, Requirements};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -208,12 +208,12 @@
         let least = self.node.least_version(&view, &self.request.service);
         let entries = view.entry_count(now);
         let residency = view.residency(&self.request.residency);
-        let needs = Needs {
+        let needs = Requirements {
             now,
             tried: &self.tried,
             least,
             prompt_tokens: self.request.prompt_tokens,
-            within_ms: None,
+            first_event_within_ms: None,
             spare: 0,
             regions: Some(residency.allowed()),
         };
--- a/crates/moleroad_gateway/src/front/attempt_log.rs
+++ b/crates/moleroad_gateway/src/front/attempt_log.rs
@@ -4,7 +4,7 @@
 use crate::front::attempt::Attempts;
 use crate::front::exchange::{Reply, SendError, Verdict};
 use crate::no_place::{NoPlace, NoPlaceCause};
-use moleroad_dispatch::prelude::BarrierTally;
+use moleroad_dispatch::prelude::ExclusionCounts;
 use moleroad_types::prelude::Millis;
 
 impl Attempts {
@@ -19,13 +19,13 @@
             }
             NoPlaceCause::Quarantined => self.log_quarantined(no_place),
             NoPlaceCause::DisjointRegions => {
-                self.log_no_allowed_target(no_place, BarrierTally::default());
+                self.log_no_allowed_target(no_place, ExclusionCounts::default());
             }
             NoPlaceCause::EmptyRegions(tally) => self.log_no_allowed_target(no_place, tally),
         }
     }
 
-    fn log_no_allowed_target(&self, no_place: &NoPlace, kept_out: BarrierTally) {
+    fn log_no_allowed_target(&self, no_place: &NoPlace, kept_out: ExclusionCounts) {
         self.node.metrics.count("no_allowed_target");
         let residency = self.node.view().residency(&self.request.residency);
         log::info!(
--- a/crates/moleroad_gateway/src/front/exchange.rs
+++ b/crates/moleroad_gateway/src/front/exchange.rs
@@ -11,7 +11,7 @@
 use hyper::body::Incoming;
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::{Request, StatusCode, http};
-use moleroad_dispatch::prelude::{Candidate, Needs, barrier};
+use moleroad_dispatch::prelude::{Candidate, Requirements, barrier};
 use moleroad_types::prelude::Millis;
 use std::time::Duration;
 
@@ -161,11 +161,11 @@
     }
     let residency = view.residency(&request.residency);
     // `tried` is left out: this target was added to it when it was chosen.
-    let needs = Needs {
+    let needs = Requirements {
         now: node.clock.now(),
         least: node.least_version(&view, &request.service),
         regions: Some(residency.allowed()),
-        ..Needs::default()
+        ..Requirements::default()
     };
     let places = view.services.get(&request.service);
     let known = places.and_then(|places| places.targets.candidate(&chosen.id));
--- a/crates/moleroad_gateway/src/front/waiting.rs
+++ b/crates/moleroad_gateway/src/front/waiting.rs
@@ -8,7 +8,7 @@
 use crate::front::patience;
 use crate::no_place::{NoPlace, NoPlaceCause};
 use crate::places::Ask;
-use moleroad_dispatch::prelude::Line;
+use moleroad_dispatch::prelude::WaitClass;
 use moleroad_types::prelude::Millis;
 
 /// Share of the wanted latency for which a request waits for a place.
@@ -106,7 +106,7 @@
             },
             wanted_by: is_first.then(|| request.arrived + latency_ms),
             until: until.min(Millis(request.until.0 - LEAST_USEFUL_MS)),
-            line: Line::InTime,
+            line: WaitClass::InTime,
             residency: self.node.view().residency(&request.residency),
             fingerprint: request.fingerprint,
             is_trial: request.is_trial && is_first,
@@ -137,7 +137,7 @@
         let ask = Ask {
             wanted_by: None,
             until: last_send,
-            line: Line::Overdue,
+            line: WaitClass::Overdue,
             ..in_time
         };
         self.log_held(now, last_send, expected_ms);
--- a/crates/moleroad_gateway/src/grants.rs
+++ b/crates/moleroad_gateway/src/grants.rs
@@ -31,14 +31,14 @@
         (targets.admission(asked_at, &chosen), is_cold)
     };
     match admission {
-        Admission::Free | Admission::Part => return Some(chosen),
-        Admission::Closed => return None,
+        Admission::Unrestricted | Admission::Quota => return Some(chosen),
+        Admission::Denied => return None,
         Admission::Grant => {}
     }
     let cold = chosen
         .cold
         .as_deref()
-        .filter(|cold| is_cold && cold.by_grant);
+        .filter(|cold| is_cold && cold.requires_grant);
     if let Some(cold) = cold
         && !has_cold_grant(node, &chosen, cold, asked_at).await
     {
@@ -50,7 +50,7 @@
         return None;
     }
     let granted = Candidate {
-        granted_until: Some(asked_at + GRANT_LIFE_MS),
+        granted_until: Some(asked_at + GRANT_TTL_MS),
         ..chosen
     };
     if is_still_possible(node, ask, &granted) {
@@ -73,7 +73,7 @@
     let ask = GrantAsk {
         requests_per_s: cold.bound.requests_per_s,
         most_in_a_second: cold.bound.most_in_a_second,
-        left_ms: cold.known_left_ms(asked_at),
+        left_ms: cold.reported_left_ms(asked_at),
     };
     let call = move |client: PeerClient, context| async move { client.grant(context, ask).await };
     let answer = ask_owner(node, agent, call).await;
@@ -201,7 +201,7 @@
                 ""
             );
         }
-        targets.agent_says_cold(&candidate.id, now + left_ms);
+        targets.agent_reported_cold(&candidate.id, now + left_ms);
     }
     targets.cold_until(now, candidate).is_some() && load.grants_free == Some(0)
 }
--- a/crates/moleroad_gateway/src/halls.rs
+++ b/crates/moleroad_gateway/src/halls.rs
@@ -3,7 +3,7 @@
 
 use crate::evacuations::{Evacuations, HallState};
 use crate::view::View;
-use moleroad_dispatch::prelude::{Barrier, Needs, barrier};
+use moleroad_dispatch::prelude::{Exclusion, Requirements, barrier};
 use moleroad_types::prelude::Millis;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -125,7 +125,7 @@
 
     /// Counts a request of `service` for the evacuated halls that it is kept
     /// away from.
-    pub fn note_kept_away(&mut self, service: &str, needs: Needs<'_>) -> KeptAway {
+    pub fn note_kept_away(&mut self, service: &str, needs: Requirements<'_>) -> KeptAway {
         let mut kept_away = KeptAway::default();
         let any = self
             .state
@@ -136,7 +136,7 @@
             return kept_away;
         };
         let barred = places.targets.candidates().iter();
-        let barred = barred.filter(|c| barrier(c, needs) == Some(Barrier::Evacuated));
+        let barred = barred.filter(|c| barrier(c, needs) == Some(Exclusion::Evacuated));
         for candidate in barred {
             if let Some(heard) = self.directory.target(&candidate.id) {
                 kept_away.halls.insert(heard.record.hall.clone());
--- a/crates/moleroad_gateway/src/limit_grants.rs
+++ b/crates/moleroad_gateway/src/limit_grants.rs
@@ -4,7 +4,7 @@
 use crate::node::Node;
 use crate::peer::{GrantAnswer, LimitAsk};
 use moleroad_directory::prelude::{RequestRate, TargetId};
-use moleroad_dispatch::prelude::{TokenBucket, limit_terms};
+use moleroad_dispatch::prelude::{TokenBucket, limit_bucket_params};
 use moleroad_types::prelude::Millis;
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard};
@@ -16,13 +16,13 @@
 impl LimitGrants {
     /// Gives one grant for a target that named `rate`, if there is one.
     pub fn take(&self, now: Millis, target: &TargetId, rate: RequestRate) -> bool {
-        let terms = limit_terms(rate);
+        let terms = limit_bucket_params(rate);
         let mut buckets = self.lock();
         // One that is full again is as good as a new one.
         buckets.retain(|known, bucket| known == target || !bucket.is_full(now));
         let full = TokenBucket::full(now, terms);
         let bucket = buckets.entry(target.clone()).or_insert(full);
-        bucket.set_terms(now, terms);
+        bucket.set_params(now, terms);
         bucket.take(now)
     }
 
--- a/crates/moleroad_gateway/src/no_place.rs
+++ b/crates/moleroad_gateway/src/no_place.rs
@@ -24,7 +24,7 @@
     Resting,
     /// No target of the regions that the route and the account allow may get it
     /// and is reachable; says how many targets each barrier keeps out.
-    EmptyRegions(BarrierTally),
+    EmptyRegions(ExclusionCounts),
 }
 
 /// Why there is no place.
@@ -57,7 +57,7 @@
 
 /// Time until the first of the targets that may get the request has rested, in
 /// milliseconds; `None` where one may get it now, or none rests.
-fn rested_in_ms(now: Millis, places: &ServicePlaces, needs: Needs<'_>) -> Option<u64> {
+fn rested_in_ms(now: Millis, places: &ServicePlaces, needs: Requirements<'_>) -> Option<u64> {
     let rested = places.targets.rested_at(needs)?;
     Some(rested.any.since(now).max(RETRY_AFTER_LEAST_MS))
 }
@@ -96,10 +96,10 @@
 fn bounded_wait_ms(
     now: Millis,
     places: Option<&ServicePlaces>,
-    needs: Needs<'_>,
+    needs: Requirements<'_>,
     entries: usize,
 ) -> u64 {
-    let gap_ms = places.and_then(|places| places.targets.bounded_gap_ms(now, needs));
+    let gap_ms = places.and_then(|places| places.targets.rate_limited_interval_ms(now, needs));
     let waiting = places.map_or(0, |places| places.waiting());
     let ahead = (waiting + 1) * entries;
     gap_ms.map_or(0, |gap_ms| (gap_ms * ahead as f64) as u64)
@@ -110,10 +110,10 @@
 pub(crate) fn no_place(
     now: Millis,
     places: Option<&ServicePlaces>,
-    needs: Needs<'_>,
+    needs: Requirements<'_>,
     entries: usize,
 ) -> NoPlace {
-    let candidates = places.map_or(0, |places| places.targets.count_open());
+    let candidates = places.map_or(0, |places| places.targets.count_not_evacuated());
     let is_outage = !places.is_some_and(|places| places.targets.any_reachable(now, needs));
     let comes_in_ms = places.and_then(|places| places.expected_outage_ms(now));
     let rested_in_ms = places.and_then(|places| rested_in_ms(now, places, needs));
--- a/crates/moleroad_gateway/src/peer.rs
+++ b/crates/moleroad_gateway/src/peer.rs
@@ -7,7 +7,7 @@
 use moleroad_consensus::prelude::{MemberInfo, Message};
 use moleroad_directory::prelude::*;
 use moleroad_membership::prelude::Speaker;
-use moleroad_quarantine::prelude::EndNews;
+use moleroad_quarantine::prelude::TerminationReport;
 use serde::{Deserialize, Serialize};
 use serde_bytes::ByteBuf;
 use std::collections::BTreeMap;
@@ -48,7 +48,7 @@
     pub halls: HallsNews,
     /// Targets that ended under requests, of which it has not told the callee.
     #[serde(default)]
-    pub ends: Vec<EndNews>,
+    pub ends: Vec<TerminationReport>,
     /// Up to where it knows what the callee knows of such ends; `None` when it
     /// wants to hear nothing of them.
     #[serde(default)]
@@ -165,7 +165,7 @@
     /// Targets that ended under requests, of which the callee has not told the
     /// caller.
     #[serde(default)]
-    pub ends: Vec<EndNews>,
+    pub ends: Vec<TerminationReport>,
     /// Up to where the caller knows of such ends after this answer.
     #[serde(default)]
     pub ends_cursor: Cursor,
--- a/crates/moleroad_gateway/src/places.rs
+++ b/crates/moleroad_gateway/src/places.rs
@@ -31,7 +31,7 @@
     /// Until when the request waits for a place.
     pub until: Millis,
     /// What it still hopes for.
-    pub line: Line,
+    pub line: WaitClass,
     /// Where it may be served.
     pub residency: Residency,
     /// What stays of the request when its caller repeats it.
@@ -50,16 +50,16 @@
 impl Ask {
     /// What a choice at `now` must meet, with `least` as the lowest version of
     /// weights.
-    pub fn needs(&self, now: Millis, least: Option<u64>) -> Needs<'_> {
-        Needs {
+    pub fn needs(&self, now: Millis, least: Option<u64>) -> Requirements<'_> {
+        Requirements {
             now,
             tried: &self.tried,
             least,
             prompt_tokens: self.prompt_tokens,
-            within_ms: self.wanted_by.map(|wanted_by| wanted_by.since(now)),
+            first_event_within_ms: self.wanted_by.map(|wanted_by| wanted_by.since(now)),
             spare: match self.line {
-                Line::InTime => 0,
-                Line::Overdue => SPARE_FOR_IN_TIME,
+                WaitClass::InTime => 0,
+                WaitClass::Overdue => SPARE_FOR_IN_TIME,
             },
             regions: Some(self.residency.allowed()),
         }
@@ -76,12 +76,12 @@
     /// Targets and their load.
     pub targets: Targets,
     /// Repeats.
-    pub budget: RepeatBudget,
+    pub budget: SharedRetryBudget,
     pub(crate) queue: WaitQueue,
     waiting: HashMap<WaiterId, Waiting>,
     next_waiter: u64,
     /// How soon overdue requests get places.
-    overdue_pace: Pace,
+    overdue_pace: WaitEstimator,
     /// How many places overdue requests may take.
     pub(crate) overdue_share: OverdueShare,
     /// How far weights have come that are on their way to engines.
@@ -95,7 +95,7 @@
     pub fn new(bounds: &Bounds) -> Self {
         Self {
             targets: Targets::default(),
-            budget: RepeatBudget::new(BudgetTerms {
+            budget: SharedRetryBudget::new(RetryBudgetParams {
                 ratio: bounds.repeat_ratio,
                 slack: bounds.repeat_slack,
                 window_ms: bounds.repeat_window_ms,
@@ -103,7 +103,7 @@
             queue: WaitQueue::default(),
             waiting: HashMap::new(),
             next_waiter: 0,
-            overdue_pace: Pace::default(),
+            overdue_pace: WaitEstimator::default(),
             overdue_share: OverdueShare::default(),
             arrival: Arrival::default(),
             piece_ms: 0.0,
@@ -123,7 +123,7 @@
 
     /// Gives free places to those that wait, unless they ask others themselves.
     pub fn serve_waiting(&mut self, now: Millis, least: Option<u64>) {
-        if self.targets.are_asked() {
+        if self.targets.require_queries() {
             return;
         }
         let mut full: Vec<AllowedRegions> = Vec::new();
@@ -158,7 +158,7 @@
         ask: &Ask,
     ) -> Option<(WaiterId, oneshot::Receiver<Candidate>)> {
         let regions = ask.residency.allowed();
-        let ahead = self.queue.len_ahead(ask.line, regions);
+        let ahead = self.queue.count_ahead(ask.line, regions);
         self.next_waiter += 1;
         let id = WaiterId(self.next_waiter);
         let entered = self.queue.enter(Waiter {
@@ -173,7 +173,7 @@
         if !entered {
             return None;
         }
-        if ask.line == Line::Overdue {
+        if ask.line == WaitClass::Overdue {
             self.overdue_pace.entered(now, ahead);
         }
         let (granted, grant) = oneshot::channel();
@@ -182,8 +182,8 @@
         Some((id, grant))
     }
 
-    pub(crate) fn note_granted(&mut self, now: Millis, line: Line) {
-        if line == Line::Overdue {
+    pub(crate) fn note_granted(&mut self, now: Millis, line: WaitClass) {
+        if line == WaitClass::Overdue {
             self.overdue_pace.granted(now);
         }
     }
@@ -191,7 +191,7 @@
     /// Whether another request without hope of its wanted latency may be sent:
     /// all entries together leave most places to those that come in time.
     pub(crate) fn admits(&self, ask: &Ask, entries: usize) -> bool {
-        if ask.line == Line::InTime {
+        if ask.line == WaitClass::InTime {
             return true;
         }
         let regions = ask.residency.allowed();
@@ -220,8 +220,8 @@
     /// How long a request without hope of its wanted latency would wait for a
     /// place, in milliseconds; `None` when no target can take any and it is not
     /// known when one will.
-    pub fn expected_overdue_wait_ms(&self, now: Millis, needs: Needs<'_>) -> Option<u64> {
-        if !self.targets.any_serves(needs) {
+    pub fn expected_overdue_wait_ms(&self, now: Millis, needs: Requirements<'_>) -> Option<u64> {
+        if !self.targets.any_eligible(needs) {
             let rested_at = self.targets.rested_at(needs);
             let rested_at = rested_at.and_then(|rested| rested.untried);
             let rested_in_ms = rested_at.map(|at| at.since(now));
@@ -230,7 +230,7 @@
         }
         let all = AllowedRegions::all();
         let regions = needs.regions.unwrap_or(&all);
-        let ahead = self.queue.len_ahead(Line::Overdue, regions);
+        let ahead = self.queue.count_ahead(WaitClass::Overdue, regions);
         // Places of some regions come free as seldom as there are fewer of them.
         let part = f64::from(self.targets.places(regions)) / f64::from(self.targets.places(&all));
         let wait_ms = self.overdue_pace.expected_wait_ms(now, ahead);
--- a/crates/moleroad_gateway/src/probe.rs
+++ b/crates/moleroad_gateway/src/probe.rs
@@ -37,7 +37,7 @@
         let on_grant = on_grant(node, ask, draw);
         return admitted(node, ask, on_grant).await;
     }
-    let mut looked = look(node, ask, Reach::Near, draw).await;
+    let mut looked = look(node, ask, SearchScope::OwnRegion, draw).await;
     let near = best_of(node, ask, &looked.open);
     if let Some(best) = near.filter(|near| is_good_enough(node, ask, near)) {
         looked.open.retain(|candidate| candidate.id != best.id);
@@ -45,7 +45,7 @@
             return Some(started(node, ask, candidate));
         }
     }
-    looked.extend(look(node, ask, Reach::Far, draw).await);
+    looked.extend(look(node, ask, SearchScope::OtherRegions, draw).await);
     if looked.is_any_heard {
         return admitted(node, ask, looked.open).await;
     }
@@ -162,7 +162,7 @@
 
 /// Asks the agents of some targets; returns those that take new requests, and
 /// those whose agents cannot be asked.
-async fn look(node: &Arc<Node>, ask: &Ask, reach: Reach, draw: u64) -> Looked {
+async fn look(node: &Arc<Node>, ask: &Ask, reach: SearchScope, draw: u64) -> Looked {
     let now = node.clock.now();
     let (drawn, resting) = {
         let view = node.view();
@@ -173,7 +173,8 @@
         let drawn = places
             .targets
             .shortlist(now, ask.needs(now, least), reach, draw);
-        let rests = |candidate: &Candidate| places.targets.load(&candidate.id).agent_rests(now);
+        let rests =
+            |candidate: &Candidate| places.targets.load(&candidate.id).agent_is_backed_off(now);
         let resting: Vec<bool> = drawn.iter().map(rests).collect();
         (drawn, resting)
     };
@@ -204,7 +205,7 @@
                 if let Some(places) = node.view().services.get_mut(&ask.service) {
                     match failed {
                         Ok(_) => places.targets.agent_refused(now, &candidate.id),
-                        Err(_) => places.targets.agent_was_silent(now, &candidate.id),
+                        Err(_) => places.targets.agent_timed_out(now, &candidate.id),
                     }
                 }
                 looked.add_unheard(node, ask, candidate);
@@ -231,7 +232,7 @@
         return false;
     }
     let old = node.old_weights(&ask.service, candidate.version);
-    let may_go = |old: OldWeights| old.may_go_unheard(node.clock.now());
+    let may_go = |old: OldWeights| old.may_send_to_silent(node.clock.now());
     candidate.agent.is_none() || old.is_none_or(may_go)
 }
 
--- a/crates/moleroad_gateway/src/quarantine.rs
+++ b/crates/moleroad_gateway/src/quarantine.rs
@@ -22,14 +22,14 @@
 const TELLS_AGAIN_MS: u64 = 1_000;
 /// Time between looks whether a request is held still, in milliseconds: a tenth
 /// of the time in which a good end elsewhere becomes known.
-const VERDICT_LOOK_MS: u64 = VERDICT_MS / 10;
+const VERDICT_LOOK_MS: u64 = HOLD_DECISION_MS / 10;
 
 /// What one daemon knows of requests that end targets.
 #[derive(Default)]
 pub struct Quarantine {
     /// Which targets ended under which requests.
     pub suspects: Suspects,
-    successes: Successes,
+    successes: RecentSuccesses,
     /// Held requests of which the control group is still to be told, and when.
     to_tell: HashMap<RequestFingerprint, Millis>,
     /// When the control group was last asked to try or release a request.
@@ -51,16 +51,16 @@
     pub fn take(
         &mut self,
         now: Millis,
-        news: Vec<EndNews>,
+        news: Vec<TerminationReport>,
         source: EndSource,
     ) -> Vec<RequestFingerprint> {
         let mut held = Vec::new();
         for end in news {
             let request = end.request;
             let learned = self.suspects.take(now, end);
-            if learned != Learned::Nothing && self.successes.speak_for(now, &request) {
+            if learned != RecordOutcome::Nothing && self.successes.has_succeeded(now, &request) {
                 self.suspects.excuse(&request);
-            } else if learned == Learned::Held {
+            } else if learned == RecordOutcome::Held {
                 self.to_tell.insert(request, now + tells_after_ms(source));
                 held.push(request);
             }
@@ -70,7 +70,7 @@
 
     /// Whether a request lately ran to a good end here.
     pub fn speaks_for(&self, now: Millis, request: &RequestFingerprint) -> bool {
-        self.successes.speak_for(now, request)
+        self.successes.has_succeeded(now, request)
     }
 
     /// Whether an order for a request may go out now, `pause_ms` after the one
@@ -93,22 +93,22 @@
 
 /// The life of which a fact tells, if it ended so lately that requests may have
 /// been on their way there.
-fn just_ended(news: &EndNews) -> Option<TargetLifeId> {
+fn just_ended(news: &TerminationReport) -> Option<TargetIncarnation> {
     (news.age_ms < EXPLAINS_MS).then(|| news.life.clone())
 }
 
 fn tells_after_ms(source: EndSource) -> u64 {
     match source {
-        EndSource::Here => VERDICT_MS,
-        EndSource::Greeting => VERDICT_MS + rand::random::<u64>() % TELLS_WITHIN_MS,
+        EndSource::Here => HOLD_DECISION_MS,
+        EndSource::Greeting => HOLD_DECISION_MS + rand::random::<u64>() % TELLS_WITHIN_MS,
     }
 }
 
 impl View {
     /// The life of a target that is known now.
-    pub fn life_of(&self, target: &TargetId) -> TargetLifeId {
+    pub fn life_of(&self, target: &TargetId) -> TargetIncarnation {
         let heard = self.directory.target(target);
-        TargetLifeId {
+        TargetIncarnation {
             target: target.clone(),
             born_ms: heard.map_or(0, |heard| heard.record.born_ms),
         }
@@ -116,13 +116,17 @@
 
     /// Facts that changed here after `position`, and the position up to which
     /// that is all.
-    pub fn ends_to_tell(&self, now: Millis, position: u64) -> (Vec<EndNews>, u64) {
+    pub fn ends_to_tell(&self, now: Millis, position: u64) -> (Vec<TerminationReport>, u64) {
         self.quarantine.suspects.since(now, position)
     }
 
     /// Facts that a daemon lacks which knows all up to `known`; none for one that
     /// wants to hear nothing.
-    pub fn ends_after(&self, now: Millis, known: Option<Cursor>) -> (Vec<EndNews>, Cursor) {
+    pub fn ends_after(
+        &self,
+        now: Millis,
+        known: Option<Cursor>,
+    ) -> (Vec<TerminationReport>, Cursor) {
         let incarnation = self.own.incarnation;
         let Some(known) = known else {
             return (Vec::new(), Cursor::default());
@@ -166,7 +170,7 @@
                 let is_held = self.hold_left_ms(&view, request).is_some();
                 (
                     is_held,
-                    view.quarantine.suspects.verdict_left_ms(now, request),
+                    view.quarantine.suspects.decision_left_ms(now, request),
                 )
             };
             let wait_ms = left_ms.min(until.since(now)).min(VERDICT_LOOK_MS);
@@ -179,8 +183,8 @@
 
     /// Takes facts that another daemon tells. What this entry had given up at the
     /// targets that ended may have ended them as well.
-    pub fn hear_ends(&self, news: Vec<EndNews>) {
-        let lives: BTreeSet<TargetLifeId> = news.iter().filter_map(just_ended).collect();
+    pub fn hear_ends(&self, news: Vec<TerminationReport>) {
+        let lives: BTreeSet<TargetIncarnation> = news.iter().filter_map(just_ended).collect();
         self.take_ends(news, EndSource::Greeting);
         for life in lives {
             let now = self.clock.now();
@@ -190,7 +194,7 @@
     }
 
     /// Takes facts of targets that ended under requests.
-    pub fn take_ends(&self, news: Vec<EndNews>, source: EndSource) {
+    pub fn take_ends(&self, news: Vec<TerminationReport>, source: EndSource) {
         if news.is_empty() {
             return;
         }
@@ -198,7 +202,7 @@
         let mut view = self.view();
         for request in view.quarantine.take(now, news, source) {
             self.metrics.count("request_held");
-            let ended = view.quarantine.suspects.ended_under(now, &request);
+            let ended = view.quarantine.suspects.terminations_under(now, &request);
             let ended: Vec<&str> = ended.map(|life| life.target.as_str()).collect();
             log::warn!(
                 event = "request_held",
--- a/crates/moleroad_gateway/src/refusal.rs
+++ b/crates/moleroad_gateway/src/refusal.rs
@@ -56,7 +56,7 @@
 fn cause_anywhere(
     node: &Node,
     places: &ServicePlaces,
-    needs: Needs<'_>,
+    needs: Requirements<'_>,
     ask: &Ask,
 ) -> Option<NoPlaceCause> {
     if places.targets.all_evacuated(needs) {
@@ -84,7 +84,7 @@
 fn cause_in_regions(
     node: &Node,
     places: &ServicePlaces,
-    needs: Needs<'_>,
+    needs: Requirements<'_>,
     ask: &Ask,
 ) -> Option<NoPlaceCause> {
     let now = node.clock.now();
@@ -111,8 +111,8 @@
 /// Whether all that could serve the request rest for longer than it waits; newer
 /// weights may come sooner to one that needs them, and a stream that began waits
 /// for a target that is not known yet.
-fn rests_too_long(kept_out: BarrierTally, rested: Option<Rested>, ask: &Ask) -> bool {
-    let outlasts = |rested: Rested| {
+fn rests_too_long(kept_out: ExclusionCounts, rested: Option<BackoffEnds>, ask: &Ask) -> bool {
+    let outlasts = |rested: BackoffEnds| {
         let untried = rested.untried;
         untried.map_or(!ask.may_have_run, |at| at > ask.until)
     };
@@ -121,7 +121,7 @@
 
 /// Whether targets of the allowed regions are kept out by nothing but that they
 /// had the request.
-fn only_tried(kept_out: BarrierTally) -> bool {
+fn only_tried(kept_out: ExclusionCounts) -> bool {
     let others = kept_out.evacuated + kept_out.old_weights + kept_out.rests + kept_out.open;
     kept_out.tried > 0 && others == 0
 }
--- a/crates/moleroad_gateway/src/target_ends.rs
+++ b/crates/moleroad_gateway/src/target_ends.rs
@@ -7,7 +7,7 @@
 
 use crate::node::Node;
 use crate::quarantine::EndSource;
-use moleroad_quarantine::prelude::{EndNews, RequestFingerprint, TargetLifeId};
+use moleroad_quarantine::prelude::{RequestFingerprint, TargetIncarnation, TerminationReport};
 use moleroad_types::prelude::Millis;
 use std::collections::HashMap;
 use std::io;
@@ -30,8 +30,8 @@
 /// What is found out of the targets at which requests broke off.
 #[derive(Default)]
 pub struct TargetEnds {
-    by_life: HashMap<TargetLifeId, Finding>,
-    left_behind: HashMap<TargetLifeId, Vec<LeftBehind>>,
+    by_life: HashMap<TargetIncarnation, Finding>,
+    left_behind: HashMap<TargetIncarnation, Vec<LeftBehind>>,
 }
 
 enum Finding {
@@ -60,7 +60,7 @@
     pub fn leave_behind(
         &mut self,
         now: Millis,
-        life: &TargetLifeId,
+        life: &TargetIncarnation,
         request: RequestFingerprint,
         until: Millis,
     ) {
@@ -76,7 +76,7 @@
 
     /// Notes that a target ended; the requests that broke off or were left behind
     /// there and were not accused yet.
-    pub fn ended(&mut self, now: Millis, life: &TargetLifeId) -> Vec<RequestFingerprint> {
+    pub fn ended(&mut self, now: Millis, life: &TargetIncarnation) -> Vec<RequestFingerprint> {
         let finding = self.by_life.insert(life.clone(), Finding::Ended(now));
         let mut requests = match finding {
             Some(Finding::Pending(requests)) => requests,
@@ -88,7 +88,12 @@
         requests
     }
 
-    fn broke(&mut self, now: Millis, life: &TargetLifeId, request: RequestFingerprint) -> Next {
+    fn broke(
+        &mut self,
+        now: Millis,
+        life: &TargetIncarnation,
+        request: RequestFingerprint,
+    ) -> Next {
         let explains = |finding: &Finding| match finding {
             Finding::Pending(_) => true,
             Finding::Ended(at) => now.since(*at) < EXPLAINS_MS,
@@ -111,7 +116,7 @@
     }
 
     /// Forgets what broke off at a target that did not end.
-    fn lives(&mut self, life: &TargetLifeId) {
+    fn lives(&mut self, life: &TargetIncarnation) {
         if let Some(Finding::Pending(_)) = self.by_life.get(life) {
             self.by_life.remove(life);
         }
@@ -123,7 +128,7 @@
     /// target ended.
     pub fn request_broke(
         self: &Arc<Self>,
-        life: TargetLifeId,
+        life: TargetIncarnation,
         address: SocketAddr,
         request: RequestFingerprint,
     ) {
@@ -138,8 +143,8 @@
     }
 
     /// Takes that a life of a target ended under these requests.
-    pub(crate) fn accuse(&self, life: &TargetLifeId, requests: Vec<RequestFingerprint>) {
-        let end = |request| EndNews {
+    pub(crate) fn accuse(&self, life: &TargetIncarnation, requests: Vec<RequestFingerprint>) {
+        let end = |request| TerminationReport {
             request,
             life: life.clone(),
             age_ms: 0,
@@ -158,7 +163,7 @@
     Nothing,
 }
 
-async fn look(node: Arc<Node>, life: TargetLifeId, address: SocketAddr) {
+async fn look(node: Arc<Node>, life: TargetIncarnation, address: SocketAddr) {
     let began = node.clock.now();
     let seen = look_often(&node, address).await;
     let now = node.clock.now();
--- a/crates/moleroad_gateway/src/target_notice.rs
+++ b/crates/moleroad_gateway/src/target_notice.rs
@@ -14,7 +14,7 @@
 use hyper::StatusCode;
 use hyper::header::{HeaderMap, HeaderValue, RETRY_AFTER};
 use moleroad_directory::prelude::{RequestRate, TargetId};
-use moleroad_dispatch::prelude::{Answerer, read_rest_ms};
+use moleroad_dispatch::prelude::{Responder, parse_retry_after_ms};
 use moleroad_types::prelude::Millis;
 use std::net::SocketAddr;
 
@@ -47,7 +47,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct AnswerHead<'a> {
     /// What made it.
-    pub(crate) from: Answerer,
+    pub(crate) from: Responder,
     /// The request or call in the log.
     pub(crate) request: &'a str,
     /// When the request that it answers was sent; `None` for calls, whose answers
@@ -88,7 +88,7 @@
             return notice;
         }
         for value in headers.get_all(RETRY_AFTER) {
-            match value.to_str().ok().and_then(read_rest_ms) {
+            match value.to_str().ok().and_then(parse_retry_after_ms) {
                 Some(rest_ms) => notice.rest_ms = notice.rest_ms.max(Some(rest_ms)),
                 None => notice.has_unreadable_rest = true,
             }
@@ -103,16 +103,16 @@
     pub fn rest_target(
         &mut self,
         now: Millis,
-        from: Answerer,
+        from: Responder,
         answered_unix_ms: u64,
         rest_ms: u64,
     ) -> Option<Millis> {
         let address = from.address;
         self.rests.ask(now, from, answered_unix_ms, rest_ms);
         let record = &self.directory.target_at(address)?.record;
-        let until = self.rests.until(now, &Answerer::of(record));
+        let until = self.rests.until(now, &Responder::of(record));
         if let Some(places) = self.services.get_mut(&record.service) {
-            places.targets.set_rest(&record.id, until);
+            places.targets.set_backoff(&record.id, until);
         }
         until
     }
@@ -148,7 +148,7 @@
     }
 
     fn note_limit(&self, head: &AnswerHead<'_>, rate: Option<RequestRate>) {
-        let Answerer {
+        let Responder {
             target, born_ms, ..
         } = &head.from;
         let is_news = {
@@ -189,7 +189,7 @@
         );
     }
 
-    fn note_unreadable_rest(&self, from: &Answerer, request: &str, headers: &HeaderMap) {
+    fn note_unreadable_rest(&self, from: &Responder, request: &str, headers: &HeaderMap) {
         self.metrics.count("target_rest_unreadable");
         let asked: Vec<_> = headers.get_all(RETRY_AFTER).iter().collect();
         log::warn!(
@@ -201,7 +201,7 @@
         );
     }
 
-    fn note_leaving(&self, from: &Answerer, request: &str) {
+    fn note_leaving(&self, from: &Responder, request: &str) {
         let is_news = {
             let now = self.clock.now();
             let mut view = self.view();
@@ -225,7 +225,7 @@
         target_news::applied(self);
     }
 
-    fn note_rest(&self, from: Answerer, request: &str, rest_ms: u64) {
+    fn note_rest(&self, from: Responder, request: &str, rest_ms: u64) {
         let now = self.clock.now();
         let target = from.target.clone();
         let answered_unix_ms = self.clock.time_of_day().0;
@@ -245,16 +245,16 @@
 
     /// What answers at `address`, as it is known here. The origin of weights is on no
     /// list; it goes by its address.
-    pub(crate) fn answerer_at(&self, address: SocketAddr) -> Answerer {
+    pub(crate) fn answerer_at(&self, address: SocketAddr) -> Responder {
         let view = self.view();
         let heard = view.directory.target_at(address);
         heard.map_or_else(
-            || Answerer {
+            || Responder {
                 address,
                 target: TargetId::new(address.to_string()),
                 born_ms: 0,
             },
-            |heard| Answerer::of(&heard.record),
+            |heard| Responder::of(&heard.record),
         )
     }
 
--- a/crates/moleroad_gateway/src/trial.rs
+++ b/crates/moleroad_gateway/src/trial.rs
@@ -70,10 +70,12 @@
         }
         let is_open = view.state.reviews.trial_at(request).is_none_or(|at| {
             let age_ms = self.clock.time_of_day().0.saturating_sub(at.0);
-            age_ms >= END_COUNTS_MS
+            age_ms >= TERMINATION_TTL_MS
         });
-        let is_doubtful = view.quarantine.suspects.is_doubtful(now, request);
-        is_open && is_doubtful && view.quarantine.claim_order(now, *request, ASKS_AGAIN_MS)
+        let has_other_explanation = view.quarantine.suspects.has_other_explanation(now, request);
+        is_open
+            && has_other_explanation
+            && view.quarantine.claim_order(now, *request, ASKS_AGAIN_MS)
     }
 
     /// When a copy of a held request that comes now may come back, in
@@ -89,7 +91,7 @@
             Some(at) => time_of_day.0.saturating_sub(at.0) < TRIAL_DECIDES_MS,
             None => {
                 let suspects = &view.quarantine.suspects;
-                suspects.is_doubtful(self.clock.now(), request)
+                suspects.has_other_explanation(self.clock.now(), request)
             }
         };
         if decides {
--- a/crates/moleroad_gateway/tests/cold.rs
+++ b/crates/moleroad_gateway/tests/cold.rs
@@ -126,16 +126,16 @@
     view.refresh_candidates(now, &settings);
     assert_eq!(agent(&view), Some(address(2)));
     assert_eq!(admission(&view, 1_000), Admission::Grant);
-    assert_eq!(admission(&view, 4_000), Admission::Free);
+    assert_eq!(admission(&view, 4_000), Admission::Unrestricted);
     view.directory.hear_target(Millis(2_200), target(0, 2), 0);
     view.refresh_candidates(Millis(2_200), &settings);
-    assert_eq!(admission(&view, 2_200), Admission::Free);
+    assert_eq!(admission(&view, 2_200), Admission::Unrestricted);
     // Relayed word is as old as it is.
     view.directory
         .hear_target(Millis(9_000), target(2_000, 9), 500);
     view.refresh_candidates(Millis(9_000), &settings);
     assert_eq!(admission(&view, 10_499), Admission::Grant);
-    assert_eq!(admission(&view, 10_500), Admission::Free);
+    assert_eq!(admission(&view, 10_500), Admission::Unrestricted);
 }
 
 #[test]
@@ -149,7 +149,7 @@
         view.directory
             .hear_target(Millis(3_000), target(3_000, 3), 0);
         view.refresh_candidates(Millis(3_000), &settings);
-        assert_eq!(admission(&view, 3_000), Admission::Free);
+        assert_eq!(admission(&view, 3_000), Admission::Unrestricted);
     }
 }
 
@@ -162,17 +162,17 @@
             .hear_target(Millis(3_000), target(3_000, 3), 0);
         view.refresh_candidates(Millis(3_000), &settings);
         let id = TargetId::new("t");
-        assert_eq!(admission(&view, 3_000), Admission::Part);
+        assert_eq!(admission(&view, 3_000), Admission::Quota);
         let targets = &mut view.services.get_mut("chat").expect("it").targets;
-        let chosen = targets.choose(Millis(3_000), Needs::default(), 0);
+        let chosen = targets.choose(Millis(3_000), Requirements::default(), 0);
         let until = |choice| match choice {
             Choice::Send(candidate) => candidate.granted_until,
             _ => None,
         };
         assert_eq!(until(chosen), Some(Millis(3_150)));
         targets.started(Millis(3_000), &id, 0);
-        assert_eq!(admission(&view, 4_249), Admission::Closed);
-        assert_eq!(admission(&view, 4_250), Admission::Part);
+        assert_eq!(admission(&view, 4_249), Admission::Denied);
+        assert_eq!(admission(&view, 4_250), Admission::Quota);
     }
 }
 
@@ -205,9 +205,9 @@
         view.directory
             .hear_target(Millis(3_000), target(3_000, 3), 0);
         view.refresh_candidates(Millis(3_000), &settings);
-        assert_eq!(admission(&view, 3_000), Admission::Part);
+        assert_eq!(admission(&view, 3_000), Admission::Quota);
         let targets = &view.services["chat"].targets;
-        let choice = targets.choose(Millis(3_000), Needs::default(), 0);
+        let choice = targets.choose(Millis(3_000), Requirements::default(), 0);
         assert!(matches!(choice, Choice::Send(_)), "it is served");
     }
 }
@@ -222,12 +222,12 @@
     let targets = &view.services["chat"].targets;
     assert!(targets.have_agents());
     let now = Millis(3_000);
-    let looked_at = targets.shortlist(now, Needs::default(), Reach::Near, 0);
-    let best = targets.best_of(now, Needs::default(), &looked_at);
+    let looked_at = targets.shortlist(now, Requirements::default(), SearchScope::OwnRegion, 0);
+    let best = targets.best_of(now, Requirements::default(), &looked_at);
     let best = best.expect("it may be asked");
     assert_eq!(admission(&view, 3_000), Admission::Grant);
     let granted = Candidate {
-        granted_until: Some(now + GRANT_LIFE_MS),
+        granted_until: Some(now + GRANT_TTL_MS),
         ..best.clone()
     };
     assert!(targets.may_begin(now, &granted) && !targets.may_begin(now, &best));
@@ -252,7 +252,7 @@
 fn what_its_agent_says_counts_at_once() {
     let settings = settings("");
     let mut view = view(table(true, Some(BOUND)), &settings);
-    assert_eq!(admission(&view, 5_000), Admission::Free);
+    assert_eq!(admission(&view, 5_000), Admission::Unrestricted);
     let targets = &mut view.services.get_mut("chat").expect("it").targets;
     let candidate = targets.candidates()[0].clone();
     let mut load = EngineLoad {
@@ -272,7 +272,7 @@
     load.grants_free = Some(2);
     assert!(!take(&load));
     assert_eq!(admission(&view, 6_999), Admission::Grant);
-    assert_eq!(admission(&view, 7_000), Admission::Free);
+    assert_eq!(admission(&view, 7_000), Admission::Unrestricted);
 }
 
 fn ask(left_ms: u64) -> GrantAsk {
--- a/crates/moleroad_gateway/tests/halls.rs
+++ b/crates/moleroad_gateway/tests/halls.rs
@@ -101,7 +101,7 @@
 #[test]
 fn places_of_an_evacuated_hall_count_for_nobody() {
     let mut view = view();
-    let needs = Needs::default();
+    let needs = Requirements::default();
     let targets = |view: &View| {
         view.services["plain"]
             .targets
@@ -117,7 +117,7 @@
             .free_places(Millis(2_000), &AllowedRegions::all()),
         4.0
     );
-    assert!(places.targets.any_serves(needs) && !places.targets.all_evacuated(needs));
+    assert!(places.targets.any_eligible(needs) && !places.targets.all_evacuated(needs));
     for draw in 0..50 {
         match places.targets.choose(Millis(2_000), needs, draw) {
             Choice::Send(candidate) => assert_eq!(candidate.id.as_str(), "i-bb"),
@@ -131,11 +131,11 @@
     // Nor is a place that was granted there before.
     assert!(!places.targets.is_open(&TargetId::new("i-a"), needs));
     assert!(places.targets.is_open(&TargetId::new("i-bb"), needs));
-    assert_eq!(places.targets.count_open(), 1);
+    assert_eq!(places.targets.count_not_evacuated(), 1);
 
     learn(&mut view, 3_000, &news("hall-b", 1, true, 0));
     let places = &view.services["plain"];
-    assert!(places.targets.all_evacuated(needs) && !places.targets.any_serves(needs));
+    assert!(places.targets.all_evacuated(needs) && !places.targets.any_eligible(needs));
     assert_eq!(
         places.targets.choose(Millis(3_000), needs, 1),
         Choice::Nobody
@@ -150,16 +150,16 @@
     learn(&mut view, 2_000, &news("hall-a", 1, true, 0));
     let targets = &view.services["plain"].targets;
     let elsewhere = AllowedRegions::only([Region::new("other")]);
-    let needs = Needs {
+    let needs = Requirements {
         regions: Some(&elsewhere),
-        ..Needs::default()
+        ..Requirements::default()
     };
     // No target at all there: that is not an evacuation.
     assert!(!targets.all_evacuated(needs));
     let here = AllowedRegions::only([Region::new("r")]);
-    let needs = Needs {
+    let needs = Requirements {
         regions: Some(&here),
-        ..Needs::default()
+        ..Requirements::default()
     };
     assert!(!targets.all_evacuated(needs), "the other hall serves");
 }
@@ -167,7 +167,7 @@
 #[test]
 fn requests_kept_away_are_counted_by_hall_until_it_is_taken_back() {
     let mut view = view();
-    let needs = Needs::default();
+    let needs = Requirements::default();
     assert!(view.note_kept_away("plain", needs).halls.is_empty());
     learn(&mut view, 2_000, &news("hall-a", 1, true, 0));
     assert_eq!(view.note_kept_away("plain", needs).first.len(), 1);
--- a/crates/moleroad_gateway/tests/quarantine.rs
+++ b/crates/moleroad_gateway/tests/quarantine.rs
@@ -25,10 +25,10 @@
 /// The request of [`support::ask`] and [`support::request`].
 const REQUEST: RequestFingerprint = RequestFingerprint([0; 16]);
 
-fn end(number: usize) -> EndNews {
-    EndNews {
+fn end(number: usize) -> TerminationReport {
+    TerminationReport {
         request: REQUEST,
-        life: TargetLifeId {
+        life: TargetIncarnation {
             target: TargetId::new(format!("ended-{number}")),
             born_ms: 0,
         },
@@ -45,9 +45,9 @@
 #[tokio::test]
 async fn a_request_is_refused_for_an_hour_after_the_third_end_and_not_after_the_second() {
     let node = entry();
-    hear(&node, ENDS_TO_HOLD - 1);
+    hear(&node, TERMINATIONS_TO_HOLD - 1);
     drop(acquire(&node, &ask(&node, None)).await.expect("a place"));
-    hear(&node, ENDS_TO_HOLD);
+    hear(&node, TERMINATIONS_TO_HOLD);
     let mut attempts = Attempts::new(node.clone(), request(&node, 1_500));
     let reason = attempts.next_run(None).await.err().expect("no place");
     assert_eq!(attempts.sends(), 0);
@@ -58,7 +58,7 @@
         .unwrap()
         .parse()
         .unwrap();
-    let hour_s = END_COUNTS_MS as f64 / 1_000.0;
+    let hour_s = TERMINATION_TTL_MS as f64 / 1_000.0;
     assert!(back_in_s <= hour_s && back_in_s > 0.9 * hour_s);
     let AnswerBody::Whole(Some(body)) = answer.into_body() else {
         panic!("an answer of our own is whole");
@@ -83,7 +83,7 @@
     while node.view().services["plain"].waiting() == 0 {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    hear(&node, ENDS_TO_HOLD);
+    hear(&node, TERMINATIONS_TO_HOLD);
     let refused = tokio::time::timeout(LONGEST, waiting).await;
     let refused = refused.expect("it does not wait on").expect("no panic");
     assert_eq!(refused.expect("no place").cause, NoPlaceCause::Quarantined);
@@ -95,7 +95,7 @@
     let attempts = Attempts::new(node.clone(), request(&node, 1_500));
     let place = acquire(&node, &ask(&node, None)).await.expect("a place");
     assert!(!attempts.is_unwanted(&place));
-    hear(&node, ENDS_TO_HOLD);
+    hear(&node, TERMINATIONS_TO_HOLD);
     assert!(attempts.is_unwanted(&place));
 }
 
@@ -103,17 +103,17 @@
 async fn a_request_that_ran_to_a_good_end_lately_is_not_held_and_others_hear_of_it() {
     let node = entry();
     node.note_success(REQUEST);
-    hear(&node, ENDS_TO_HOLD);
+    hear(&node, TERMINATIONS_TO_HOLD);
     assert!(acquire(&node, &ask(&node, None)).await.is_ok());
     let (told, _) = node.view().ends_to_tell(node.clock.now(), 0);
-    assert_eq!(told.len(), ENDS_TO_HOLD);
+    assert_eq!(told.len(), TERMINATIONS_TO_HOLD);
     assert!(told.iter().all(|end| end.is_excused));
 }
 
 #[tokio::test]
 async fn a_good_end_that_comes_later_lets_a_held_request_go_again() {
     let node = entry();
-    hear(&node, ENDS_TO_HOLD);
+    hear(&node, TERMINATIONS_TO_HOLD);
     assert!(acquire(&node, &ask(&node, None)).await.is_err());
     node.note_success(REQUEST);
     assert!(acquire(&node, &ask(&node, None)).await.is_ok());
@@ -121,13 +121,13 @@
 
 #[test]
 fn a_fact_takes_under_fifty_bytes_on_the_way_and_none_takes_one() {
-    let none: Vec<EndNews> = Vec::new();
+    let none: Vec<TerminationReport> = Vec::new();
     assert_eq!(rmp_serde::to_vec(&none).unwrap().len(), 1);
-    let life = TargetLifeId {
+    let life = TargetIncarnation {
         target: TargetId::new("i-2d563a72ba"),
         born_ms: 1_796_256_000_000,
     };
-    let one = EndNews {
+    let one = TerminationReport {
         life,
         age_ms: 3_000_000,
         ..end(1)
@@ -146,8 +146,8 @@
     }
     let address = node.settings.peer_address();
     node.view().leader = Some(LeaderHint { term: 1, address });
-    hear(&node, ENDS_TO_HOLD);
-    let beside = (0..ENDS_TO_HOLD).map(|number| EndNews {
+    hear(&node, TERMINATIONS_TO_HOLD);
+    let beside = (0..TERMINATIONS_TO_HOLD).map(|number| TerminationReport {
         request: RequestFingerprint([1; 16]),
         ..end(number)
     });
@@ -157,7 +157,7 @@
 
 /// Lets the control group keep the hold.
 async fn keep_hold(node: &Arc<Node>) {
-    let until = UnixMillis(node.clock.time_of_day().0 + END_COUNTS_MS);
+    let until = UnixMillis(node.clock.time_of_day().0 + TERMINATION_TTL_MS);
     let request = REQUEST;
     let order = ControlCommand::HoldRequest(HoldOrder { request, until });
     assert!(operator::commit(node, order).await);
@@ -176,7 +176,7 @@
     let refused = acquire(&node, &ask(&node, None)).await.err();
     let refused = refused.expect("no place");
     assert_eq!(refused.cause, NoPlaceCause::Quarantined);
-    assert!(refused.retry_after_ms < END_COUNTS_MS / 100);
+    assert!(refused.retry_after_ms < TERMINATION_TTL_MS / 100);
     let mut tried = ask(&node, None);
     tried.is_trial = true;
     let place = acquire(&node, &tried).await.expect("a place");
@@ -195,7 +195,7 @@
         term: 1,
         address: certain.settings.peer_address(),
     });
-    hear(&certain, ENDS_TO_HOLD);
+    hear(&certain, TERMINATIONS_TO_HOLD);
     assert!(!trial::is_granted(&certain, &request(&certain, 5_000)).await);
 }
 
@@ -248,10 +248,10 @@
 /// meanwhile.
 async fn is_refused_before_the_verdict() -> Option<bool> {
     let node = entry();
-    hear(&node, ENDS_TO_HOLD);
+    hear(&node, TERMINATIONS_TO_HOLD);
     let began = node.clock.now();
     let mut attempts = Attempts::new(node.clone(), request(&node, 5_000));
-    let excused = (0..ENDS_TO_HOLD).map(|number| EndNews {
+    let excused = (0..TERMINATIONS_TO_HOLD).map(|number| TerminationReport {
         is_excused: true,
         ..end(number)
     });
@@ -264,7 +264,7 @@
         run.err(),
         Some(GiveUp::NoPlace(no_place)) if no_place.cause == NoPlaceCause::Quarantined
     );
-    (told_at.since(began) < VERDICT_MS).then_some(is_refused)
+    (told_at.since(began) < HOLD_DECISION_MS).then_some(is_refused)
 }
 
 #[tokio::test]
--- a/crates/moleroad_gateway/tests/support/mod.rs
+++ b/crates/moleroad_gateway/tests/support/mod.rs
@@ -203,7 +203,7 @@
         priority: 1,
         wanted_by: None,
         until,
-        line: Line::InTime,
+        line: WaitClass::InTime,
         residency: Residency::new(&table, "host", "/", key),
         fingerprint: RequestFingerprint([0; 16]),
         is_trial: false,
--- a/crates/moleroad_gateway/tests/target_notices.rs
+++ b/crates/moleroad_gateway/tests/target_notices.rs
@@ -6,7 +6,7 @@
 use hyper::StatusCode;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, RETRY_AFTER};
 use moleroad_directory::prelude::{RequestRate, TargetId};
-use moleroad_dispatch::prelude::Answerer;
+use moleroad_dispatch::prelude::Responder;
 use moleroad_gateway::acquire::{Place, acquire};
 use moleroad_gateway::front::attempt::Attempts;
 use moleroad_gateway::no_place::{NoPlace, NoPlaceCause};
@@ -30,7 +30,7 @@
 
 /// Lets the target at that port ask this entry for rest.
 fn rest(node: &Node, id: &str, port: u16, rest_ms: u64) -> Option<Millis> {
-    let from = Answerer {
+    let from = Responder {
         address: address_of(port),
         target: TargetId::new(id),
         born_ms: 0,
--- a/crates/moleroad_quarantine/src/lib.rs
+++ b/crates/moleroad_quarantine/src/lib.rs
@@ -22,9 +22,9 @@
 //! };
 //! let mut suspects = Suspects::default();
 //! for name in ["t-1", "t-2", "t-3"] {
-//!     let life = TargetLifeId { target: TargetId::new(name), born_ms: 0 };
+//!     let life = TargetIncarnation { target: TargetId::new(name), born_ms: 0 };
 //!     let request = content.fingerprint();
-//!     suspects.take(Millis(0), EndNews { request, life, age_ms: 0, is_excused: false });
+//!     suspects.take(Millis(0), TerminationReport { request, life, age_ms: 0, is_excused: false });
 //! }
 //! assert!(suspects.hold_left_ms(Millis(1), &content.fingerprint()).is_some());
 //! ```
@@ -41,8 +41,9 @@
     pub use crate::fingerprint::{RequestContent, RequestFingerprint};
     pub use crate::holds::{HoldOrder, Holds, UnixMillis};
     pub use crate::reviews::{ReleaseOrder, Reviews, TrialOrder, TrialToken};
-    pub use crate::successes::Successes;
+    pub use crate::successes::RecentSuccesses;
     pub use crate::suspects::{
-        END_COUNTS_MS, ENDS_TO_HOLD, EndNews, Learned, Suspects, TargetLifeId, VERDICT_MS,
+        HOLD_DECISION_MS, RecordOutcome, Suspects, TERMINATION_TTL_MS, TERMINATIONS_TO_HOLD,
+        TargetIncarnation, TerminationReport,
     };
 }
--- a/crates/moleroad_quarantine/src/reviews.rs
+++ b/crates/moleroad_quarantine/src/reviews.rs
@@ -9,7 +9,7 @@
 
 use crate::fingerprint::RequestFingerprint;
 use crate::holds::{MOST_HOLDS, SAME_WITHIN_MS, UnixMillis};
-use crate::suspects::END_COUNTS_MS;
+use crate::suspects::TERMINATION_TTL_MS;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -73,7 +73,7 @@
     /// already.
     pub fn includes_trial(&self, order: &TrialOrder) -> bool {
         let granted_at = self.trial_at(&order.request);
-        granted_at.is_some_and(|at| at.0 + END_COUNTS_MS > order.at.0)
+        granted_at.is_some_and(|at| at.0 + TERMINATION_TTL_MS > order.at.0)
     }
 
     /// When the last trial of a request was granted.
@@ -107,9 +107,9 @@
     /// Whether a hold until `until` is over, since the request ran to a good end
     /// after it began. One that began shortly after the good end is over too: it
     /// is the same hold, told late or by a clock that is ahead.
-    pub fn end_hold(&self, request: &RequestFingerprint, until: UnixMillis) -> bool {
+    pub fn ends_hold(&self, request: &RequestFingerprint, until: UnixMillis) -> bool {
         let released_at = self.released_at(request);
-        released_at.is_some_and(|at| until.0 <= at.0 + END_COUNTS_MS + SAME_WITHIN_MS)
+        released_at.is_some_and(|at| until.0 <= at.0 + TERMINATION_TTL_MS + SAME_WITHIN_MS)
     }
 
     /// Takes what another daemon knows; true if anything was news.
--- a/crates/moleroad_quarantine/src/successes.rs
+++ b/crates/moleroad_quarantine/src/successes.rs
@@ -14,14 +14,14 @@
 
 /// Requests that lately ran to a good end.
 #[derive(Clone, Debug, Default)]
-pub struct Successes {
+pub struct RecentSuccesses {
     last: HashMap<RequestFingerprint, Millis>,
     /// In the order in which they were noted; one that was noted again stands
     /// here more than once.
     order: VecDeque<(Millis, RequestFingerprint)>,
 }
 
-impl Successes {
+impl RecentSuccesses {
     /// Notes that a request ran to a good end.
     pub fn note(&mut self, now: Millis, request: RequestFingerprint) {
         self.last.insert(request, now);
@@ -37,7 +37,7 @@
     }
 
     /// Whether a request lately ran to a good end.
-    pub fn speak_for(&self, now: Millis, request: &RequestFingerprint) -> bool {
+    pub fn has_succeeded(&self, now: Millis, request: &RequestFingerprint) -> bool {
         let last = self.last.get(request);
         last.is_some_and(|at| now.since(*at) < SPEAKS_MS)
     }
--- a/crates/moleroad_quarantine/src/suspects.rs
+++ b/crates/moleroad_quarantine/src/suspects.rs
@@ -3,7 +3,7 @@
 //! Each end of a target under a request is one fact, known by the request's
 //! fingerprint and the life that ended. Facts are passed on between daemons and
 //! only add up, so that every daemon comes to the same verdict whichever way and
-//! in whichever order they come: a request is held once [`ENDS_TO_HOLD`] targets
+//! in whichever order they come: a request is held once [`TERMINATIONS_TO_HOLD`] targets
 //! ended under it and none of them is excused. A request that runs to a good end
 //! anywhere is excused: it does not end *each* target, it ran beside one that
 //! does, or its target ended for a reason of its own.
@@ -17,21 +17,21 @@
 /// Targets that end under a request before it is held. A request may be beside
 /// one that ends its target once or twice by chance; the platform allows three
 /// ends.
-pub const ENDS_TO_HOLD: usize = 3;
+pub const TERMINATIONS_TO_HOLD: usize = 3;
 /// How long the end of a target counts, in milliseconds. An engine that a request
 /// ends serves nobody for some 5 s, so that one kept up by the hour costs it
 /// 4 in 1,000 of its time.
-pub const END_COUNTS_MS: u64 = 3_600_000;
+pub const TERMINATION_TTL_MS: u64 = 3_600_000;
 /// Time after a hold has begun in which copies of the request wait in place of
 /// being refused, in milliseconds: a good end of it at another entry comes to all
 /// within four greetings of 100 ms. Without it an entry refused an ordinary
 /// request for 20 ms in 2 of 56 runs under faults.
-pub const VERDICT_MS: u64 = 400;
+pub const HOLD_DECISION_MS: u64 = 400;
 /// Most requests that are kept. A target that ends leaves those that ran and waited there;
 /// what is beyond is given up from the least suspect on.
 pub const MOST_SUSPECTS: usize = 1_024;
 /// Most ends that are kept of one request: enough to hold it, and one more.
-pub const MOST_ENDS: usize = ENDS_TO_HOLD + 1;
+pub const MOST_ENDS: usize = TERMINATIONS_TO_HOLD + 1;
 /// Most facts that one message brings; the rest comes with the next one.
 pub const MOST_NEWS: usize = 256;
 
@@ -45,7 +45,7 @@
 /// One life of a target: its identity and when it began, since a target may
 /// begin again under the same identity.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct TargetLifeId {
+pub struct TargetIncarnation {
     /// The target.
     pub target: TargetId,
     /// Unix time of its start as it says, in milliseconds; 0 when it does not.
@@ -54,11 +54,11 @@
 
 /// That a life of a target ended under a request, as daemons tell each other.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EndNews {
+pub struct TerminationReport {
     /// The request.
     pub request: RequestFingerprint,
     /// The life that ended.
-    pub life: TargetLifeId,
+    pub life: TargetIncarnation,
     /// How long ago, in milliseconds.
     pub age_ms: u64,
     /// Whether the request ran to a good end elsewhere.
@@ -67,7 +67,7 @@
 
 /// What a fact changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Learned {
+pub enum RecordOutcome {
     /// Nothing.
     Nothing,
     /// It is news.
@@ -86,11 +86,11 @@
 
 impl End {
     fn counts(&self, now: Millis) -> bool {
-        !self.is_excused && now.since(self.at) < END_COUNTS_MS
+        !self.is_excused && now.since(self.at) < TERMINATION_TTL_MS
     }
 }
 
-type Ends = BTreeMap<TargetLifeId, End>;
+type Ends = BTreeMap<TargetIncarnation, End>;
 
 /// Requests under which targets ended.
 #[derive(Clone, Debug, Default)]
@@ -116,22 +116,22 @@
     }
 
     /// Takes a fact that was found here or told by another daemon.
-    pub fn take(&mut self, now: Millis, news: EndNews) -> Learned {
-        if news.age_ms >= END_COUNTS_MS {
-            return Learned::Nothing;
+    pub fn take(&mut self, now: Millis, news: TerminationReport) -> RecordOutcome {
+        if news.age_ms >= TERMINATION_TTL_MS {
+            return RecordOutcome::Nothing;
         }
         let request = news.request;
         let was_held = self.hold_left_ms(now, &request).is_some();
         let at = Millis(now.0.saturating_sub(news.age_ms));
         if !self.put(at, news) {
-            return Learned::Nothing;
+            return RecordOutcome::Nothing;
         }
         self.keep_bounds(now, &request);
         let is_held = self.hold_left_ms(now, &request).is_some();
         if is_held && !was_held {
-            Learned::Held
+            RecordOutcome::Held
         } else {
-            Learned::News
+            RecordOutcome::News
         }
     }
 
@@ -159,20 +159,20 @@
         let mut counted: Vec<Millis> = counted(ends, now).map(|end| end.at).collect();
         counted.sort();
         // Held until so many of them count no more that too few are left.
-        let last = counted.len().checked_sub(ENDS_TO_HOLD)?;
-        Some((counted[last] + END_COUNTS_MS).since(now))
+        let last = counted.len().checked_sub(TERMINATIONS_TO_HOLD)?;
+        Some((counted[last] + TERMINATION_TTL_MS).since(now))
     }
 
     /// How much longer it is open whether a request stays held, in milliseconds;
     /// 0 when it is decided or not held.
-    pub fn verdict_left_ms(&self, now: Millis, request: &RequestFingerprint) -> u64 {
+    pub fn decision_left_ms(&self, now: Millis, request: &RequestFingerprint) -> u64 {
         let Some(ends) = self.ends.get(request) else {
             return 0;
         };
         let mut counted: Vec<Millis> = counted(ends, now).map(|end| end.at).collect();
         counted.sort();
-        let began = counted.get(ENDS_TO_HOLD - 1);
-        began.map_or(0, |began| (*began + VERDICT_MS).since(now))
+        let began = counted.get(TERMINATIONS_TO_HOLD - 1);
+        began.map_or(0, |began| (*began + HOLD_DECISION_MS).since(now))
     }
 
     /// Requests that are held now.
@@ -183,11 +183,11 @@
     }
 
     /// Targets that ended under a request and are counted.
-    pub fn ended_under(
+    pub fn terminations_under(
         &self,
         now: Millis,
         request: &RequestFingerprint,
-    ) -> impl Iterator<Item = &TargetLifeId> {
+    ) -> impl Iterator<Item = &TargetIncarnation> {
         let ends = self.ends.get(request).into_iter().flatten();
         ends.filter(move |(_, end)| end.counts(now))
             .map(|(life, _)| life)
@@ -196,7 +196,7 @@
     /// Whether something else than a held request may be what ended its targets:
     /// another held request was at one of them, or one ended together with
     /// others that did not have it.
-    pub fn is_doubtful(&self, now: Millis, request: &RequestFingerprint) -> bool {
+    pub fn has_other_explanation(&self, now: Millis, request: &RequestFingerprint) -> bool {
         let Some(ends) = self.ends.get(request) else {
             return false;
         };
@@ -206,9 +206,9 @@
     }
 
     fn is_beside_a_held_one(&self, now: Millis, request: &RequestFingerprint) -> bool {
-        let lives: BTreeSet<&TargetLifeId> = self.ended_under(now, request).collect();
+        let lives: BTreeSet<&TargetIncarnation> = self.terminations_under(now, request).collect();
         self.held(now).filter(|held| held != request).any(|held| {
-            self.ended_under(now, &held)
+            self.terminations_under(now, &held)
                 .any(|life| lives.contains(life))
         })
     }
@@ -218,13 +218,13 @@
         let is_near = |end: &End| end.at.0.abs_diff(at.0) < WAVE_MS;
         let all = self.ends.values().flatten();
         let near = all.filter(|(life, end)| is_near(end) && !ends.contains_key(life));
-        let others: BTreeSet<&TargetLifeId> = near.map(|(life, _)| life).collect();
+        let others: BTreeSet<&TargetIncarnation> = near.map(|(life, _)| life).collect();
         others.len()
     }
 
     /// What changed after `position`, oldest change first, and the position up
     /// to which that is all.
-    pub fn since(&self, now: Millis, position: u64) -> (Vec<EndNews>, u64) {
+    pub fn since(&self, now: Millis, position: u64) -> (Vec<TerminationReport>, u64) {
         if position >= self.position {
             return (Vec::new(), self.position);
         }
@@ -240,25 +240,27 @@
             Some((_, _, end)) if !is_all => end.changed,
             _ => self.position,
         };
-        let news = changed.into_iter().map(|(request, life, end)| EndNews {
-            request: *request,
-            life: life.clone(),
-            age_ms: now.since(end.at),
-            is_excused: end.is_excused,
-        });
+        let news = changed
+            .into_iter()
+            .map(|(request, life, end)| TerminationReport {
+                request: *request,
+                life: life.clone(),
+                age_ms: now.since(end.at),
+                is_excused: end.is_excused,
+            });
         (news.collect(), reached)
     }
 
     /// Forgets ends that count no more.
     pub fn expire(&mut self, now: Millis) {
         self.ends.retain(|_, ends| {
-            ends.retain(|_, end| now.since(end.at) < END_COUNTS_MS);
+            ends.retain(|_, end| now.since(end.at) < TERMINATION_TTL_MS);
             !ends.is_empty()
         });
     }
 
     /// Puts a fact to the others; true if it is news.
-    fn put(&mut self, at: Millis, news: EndNews) -> bool {
+    fn put(&mut self, at: Millis, news: TerminationReport) -> bool {
         let next = self.position + 1;
         let ends = self.ends.entry(news.request).or_default();
         match ends.get_mut(&news.life) {
@@ -310,8 +312,8 @@
 }
 
 /// The end that says least: an excused one, else the oldest.
-fn least_end(ends: &Ends) -> Option<TargetLifeId> {
-    let rank = |(_, end): &(&TargetLifeId, &End)| (!end.is_excused, end.at);
+fn least_end(ends: &Ends) -> Option<TargetIncarnation> {
+    let rank = |(_, end): &(&TargetIncarnation, &End)| (!end.is_excused, end.at);
     let least = ends.iter().min_by_key(rank);
     least.map(|(life, _)| life.clone())
 }
--- a/crates/moleroad_quarantine/tests/holds.rs
+++ b/crates/moleroad_quarantine/tests/holds.rs
@@ -78,14 +78,14 @@
 
 #[test]
 fn a_good_end_speaks_for_a_minute_and_for_a_bounded_number() {
-    let mut successes = Successes::default();
+    let mut successes = RecentSuccesses::default();
     successes.note(Millis(0), request(1));
     successes.note(Millis(30_000), request(1));
-    assert!(successes.speak_for(Millis(60_000), &request(1)));
-    assert!(!successes.speak_for(Millis(90_000), &request(1)));
+    assert!(successes.has_succeeded(Millis(60_000), &request(1)));
+    assert!(!successes.has_succeeded(Millis(90_000), &request(1)));
     for number in 0..10_000 {
         successes.note(Millis(100_000), request(number));
     }
-    assert!(successes.speak_for(Millis(100_000), &request(9_999)));
-    assert!(!successes.speak_for(Millis(100_000), &request(1)));
+    assert!(successes.has_succeeded(Millis(100_000), &request(9_999)));
+    assert!(!successes.has_succeeded(Millis(100_000), &request(1)));
 }
--- a/crates/moleroad_quarantine/tests/reviews.rs
+++ b/crates/moleroad_quarantine/tests/reviews.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 
 const NOON: u64 = 1_000_000_000;
-const HOUR: u64 = END_COUNTS_MS;
+const HOUR: u64 = TERMINATION_TTL_MS;
 
 fn request(number: u16) -> RequestFingerprint {
     let mut bytes = [0; 16];
@@ -58,7 +58,7 @@
 #[test]
 fn a_good_end_ends_holds_of_before_and_those_told_late() {
     let mut reviews = Reviews::default();
-    let ends = |reviews: &Reviews, until| reviews.end_hold(&request(1), UnixMillis(until));
+    let ends = |reviews: &Reviews, until| reviews.ends_hold(&request(1), UnixMillis(until));
     assert!(!ends(&reviews, NOON));
     assert!(reviews.release(&release(1, NOON)));
     assert!(!reviews.release(&release(1, NOON)), "known");
@@ -70,7 +70,7 @@
         assert!(ends(&reviews, began + HOUR));
     }
     assert!(!ends(&reviews, NOON + 2 * HOUR), "a hold of an hour later");
-    assert!(!reviews.end_hold(&request(2), UnixMillis(NOON)));
+    assert!(!reviews.ends_hold(&request(2), UnixMillis(NOON)));
 }
 
 #[test]
--- a/crates/moleroad_quarantine/tests/suspects.rs
+++ b/crates/moleroad_quarantine/tests/suspects.rs
@@ -18,15 +18,15 @@
     RequestFingerprint(bytes)
 }
 
-fn life(number: u64) -> TargetLifeId {
-    TargetLifeId {
+fn life(number: u64) -> TargetIncarnation {
+    TargetIncarnation {
         target: TargetId::new(format!("t-{number}")),
         born_ms: 0,
     }
 }
 
-fn end(request: RequestFingerprint, number: u64) -> EndNews {
-    EndNews {
+fn end(request: RequestFingerprint, number: u64) -> TerminationReport {
+    TerminationReport {
         request,
         life: life(number),
         age_ms: 0,
@@ -37,12 +37,27 @@
 #[test]
 fn the_third_end_holds_a_request_and_no_other() {
     let mut suspects = Suspects::default();
-    assert_eq!(suspects.take(START, end(request(1), 1)), Learned::News);
-    assert_eq!(suspects.take(START, end(request(2), 1)), Learned::News);
-    assert_eq!(suspects.take(START, end(request(1), 2)), Learned::News);
+    assert_eq!(
+        suspects.take(START, end(request(1), 1)),
+        RecordOutcome::News
+    );
+    assert_eq!(
+        suspects.take(START, end(request(2), 1)),
+        RecordOutcome::News
+    );
+    assert_eq!(
+        suspects.take(START, end(request(1), 2)),
+        RecordOutcome::News
+    );
     assert_eq!(suspects.hold_left_ms(START, &request(1)), None);
-    assert_eq!(suspects.take(START + 10, end(request(1), 3)), Learned::Held);
-    assert_eq!(suspects.take(START + 20, end(request(1), 4)), Learned::News);
+    assert_eq!(
+        suspects.take(START + 10, end(request(1), 3)),
+        RecordOutcome::Held
+    );
+    assert_eq!(
+        suspects.take(START + 20, end(request(1), 4)),
+        RecordOutcome::News
+    );
     let held: Vec<RequestFingerprint> = suspects.held(START + 20).collect();
     assert_eq!(held, [request(1)]);
     assert_eq!(suspects.hold_left_ms(START, &request(2)), None);
@@ -63,8 +78,8 @@
 fn a_target_that_begins_again_under_its_identity_has_another_life() {
     let mut suspects = Suspects::default();
     for born_ms in 1..=3 {
-        let life = TargetLifeId { born_ms, ..life(1) };
-        let news = EndNews {
+        let life = TargetIncarnation { born_ms, ..life(1) };
+        let news = TerminationReport {
             life,
             ..end(request(1), 1)
         };
@@ -90,7 +105,10 @@
     }
     assert_eq!(there.hold_left_ms(START, &request(1)), None);
     // Who knows only the older facts brings nothing back.
-    assert_eq!(there.take(START, end(request(1), 1)), Learned::Nothing);
+    assert_eq!(
+        there.take(START, end(request(1), 1)),
+        RecordOutcome::Nothing
+    );
 }
 
 #[test]
@@ -99,23 +117,26 @@
     for number in 0..3 {
         suspects.take(START + number * 1_000, end(request(1), number));
     }
-    let later = START + END_COUNTS_MS;
+    let later = START + TERMINATION_TTL_MS;
     assert_eq!(suspects.hold_left_ms(later - 1, &request(1)), Some(1));
     assert_eq!(suspects.hold_left_ms(later, &request(1)), None);
     suspects.expire(later);
-    assert_eq!(suspects.take(later, end(request(1), 9)), Learned::Held);
-    suspects.expire(later + END_COUNTS_MS);
+    assert_eq!(
+        suspects.take(later, end(request(1), 9)),
+        RecordOutcome::Held
+    );
+    suspects.expire(later + TERMINATION_TTL_MS);
     assert!(suspects.is_empty());
 }
 
 #[test]
 fn a_fact_that_is_too_old_is_not_taken() {
     let mut suspects = Suspects::default();
-    let old = EndNews {
-        age_ms: END_COUNTS_MS,
+    let old = TerminationReport {
+        age_ms: TERMINATION_TTL_MS,
         ..end(request(1), 1)
     };
-    assert_eq!(suspects.take(START, old), Learned::Nothing);
+    assert_eq!(suspects.take(START, old), RecordOutcome::Nothing);
     assert!(suspects.is_empty());
 }
 
@@ -125,7 +146,10 @@
     for number in 0..20 {
         suspects.take(START, end(request(1), number));
     }
-    assert_eq!(suspects.ended_under(START, &request(1)).count(), MOST_ENDS);
+    assert_eq!(
+        suspects.terminations_under(START, &request(1)).count(),
+        MOST_ENDS
+    );
     for number in 0..4 * MOST_SUSPECTS as u32 {
         suspects.take(START + u64::from(number), end(numbered(number), 99));
     }
@@ -232,9 +256,9 @@
     for life in 1..=3 {
         suspects.take(START, end(request(10 + life as u8), life));
     }
-    assert!(!suspects.is_doubtful(START, &request(1)));
+    assert!(!suspects.has_other_explanation(START, &request(1)));
     assert!(
-        !suspects.is_doubtful(START, &request(2)),
+        !suspects.has_other_explanation(START, &request(2)),
         "nothing is known of it"
     );
 }
@@ -245,17 +269,17 @@
     hold(&mut suspects, START, 1, [1, 2, 3]);
     hold(&mut suspects, START, 2, [3, 4, 5]);
     hold(&mut suspects, START, 3, [6, 7, 8]);
-    assert!(suspects.is_doubtful(START, &request(1)));
-    assert!(suspects.is_doubtful(START, &request(2)));
+    assert!(suspects.has_other_explanation(START, &request(1)));
+    assert!(suspects.has_other_explanation(START, &request(2)));
     suspects.excuse(&request(2));
     // Lives 4 to 8 still ended within a second of those.
-    assert!(suspects.is_doubtful(START, &request(1)));
+    assert!(suspects.has_other_explanation(START, &request(1)));
     let mut suspects = Suspects::default();
     hold(&mut suspects, START, 1, [1, 2, 3]);
     hold(&mut suspects, START, 2, [1, 2, 3]);
-    assert!(suspects.is_doubtful(START, &request(1)));
+    assert!(suspects.has_other_explanation(START, &request(1)));
     suspects.excuse(&request(2));
-    assert!(!suspects.is_doubtful(START, &request(1)));
+    assert!(!suspects.has_other_explanation(START, &request(1)));
     assert_eq!(suspects.hold_left_ms(START, &request(2)), None);
 }
 
@@ -265,37 +289,37 @@
     hold(&mut suspects, START, 1, [1, 2, 3]);
     suspects.take(START + 900, end(request(2), 4));
     assert!(
-        !suspects.is_doubtful(START + 900, &request(1)),
+        !suspects.has_other_explanation(START + 900, &request(1)),
         "one other target"
     );
     suspects.take(START + 900, end(request(3), 4));
     assert!(
-        !suspects.is_doubtful(START + 900, &request(1)),
+        !suspects.has_other_explanation(START + 900, &request(1)),
         "the same one"
     );
     suspects.take(START + 1_100, end(request(2), 5));
     assert!(
-        !suspects.is_doubtful(START + 1_100, &request(1)),
+        !suspects.has_other_explanation(START + 1_100, &request(1)),
         "too late"
     );
     suspects.take(START + 900, end(request(3), 6));
-    assert!(suspects.is_doubtful(START + 1_100, &request(1)));
+    assert!(suspects.has_other_explanation(START + 1_100, &request(1)));
 }
 
 #[test]
 fn a_verdict_is_open_for_a_while_after_the_third_end_and_no_longer_after_a_fourth() {
     let mut suspects = Suspects::default();
     hold(&mut suspects, START, 1, [1, 2, 2]);
-    assert_eq!(suspects.verdict_left_ms(START, &request(1)), 0, "two ends");
-    let third = EndNews {
+    assert_eq!(suspects.decision_left_ms(START, &request(1)), 0, "two ends");
+    let third = TerminationReport {
         age_ms: 100,
         ..end(request(1), 3)
     };
     suspects.take(START + 300, third);
-    let left_ms = suspects.verdict_left_ms(START + 300, &request(1));
-    assert_eq!(left_ms, VERDICT_MS - 100);
+    let left_ms = suspects.decision_left_ms(START + 300, &request(1));
+    assert_eq!(left_ms, HOLD_DECISION_MS - 100);
     suspects.take(START + 500, end(request(1), 4));
-    let left_ms = suspects.verdict_left_ms(START + 200 + VERDICT_MS, &request(1));
+    let left_ms = suspects.decision_left_ms(START + 200 + HOLD_DECISION_MS, &request(1));
     assert_eq!(left_ms, 0);
     assert!(suspects.hold_left_ms(START + 1_000, &request(1)).is_some());
 }
--- a/crates/moleroad_rollout/src/bound.rs
+++ b/crates/moleroad_rollout/src/bound.rs
@@ -31,7 +31,7 @@
     /// Whether a request that is sent now begins in time though the engine's
     /// agent does not answer: the link of the instance may be full, and the
     /// request would wait there.
-    pub fn may_go_unheard(&self, now: Millis) -> bool {
+    pub fn may_send_to_silent(&self, now: Millis) -> bool {
         now + self.version_ms / SILENT_SPARE_PART < self.last_start
     }
 }
--- a/crates/moleroad_rollout/src/choice.rs
+++ b/crates/moleroad_rollout/src/choice.rs
@@ -1,8 +1,8 @@
 //! Which missing piece an agent fetches next, and from what kind of source.
 
-use crate::sources::Patience;
-use crate::spread::{FANOUT, Spread};
-use crate::turns::Turns;
+use crate::sources::TakeoverTimeouts;
+use crate::spread::{DistributionTrees, FANOUT};
+use crate::turns::OriginSchedule;
 
 /// What an agent knows of one piece that it lacks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -29,34 +29,34 @@
     /// An agent that offered the piece.
     Offer,
     /// An agent of the own region.
-    Near,
+    OwnRegion,
     /// An agent of another region.
-    Far,
+    OtherRegions,
     /// The origin.
     Origin,
 }
 
 /// What else the choice depends on.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Conditions {
+pub struct FetchConditions {
     /// How long the agent keeps to the division of work.
-    pub patience: Patience,
+    pub patience: TakeoverTimeouts,
     /// Time since the agent began with the version, or since pieces came again
     /// after a [`STALL_MS`], in milliseconds.
     pub elapsed_ms: u64,
     /// Which pieces have a turn at the origin.
-    pub turns: Turns,
+    pub turns: OriginSchedule,
     /// Time that the origin takes for one piece, in milliseconds.
     pub origin_piece_ms: u64,
     /// Time that the part of this agent's link that pieces may take needs for
     /// one piece, in milliseconds.
     pub link_piece_ms: u64,
     /// Whether the origin can be asked.
-    pub origin_is_free: bool,
+    pub can_ask_origin: bool,
     /// Time since the origin last gave this agent nothing, in milliseconds.
     pub origin_failed_ms: Option<u64>,
     /// Whether a piece may be taken from another region without an offer.
-    pub may_cross: bool,
+    pub may_cross_regions: bool,
     /// The highest piece that is here or was offered.
     pub newest_seen: Option<u32>,
 }
@@ -102,10 +102,10 @@
 ///
 /// First what others wait for: a piece for which the agent stands high in
 /// the tree. Then what few agents of the region have.
-pub fn source_of(
+pub fn choose_source(
     missing: MissingPiece,
-    spread: &Spread,
-    conditions: &Conditions,
+    spread: &DistributionTrees,
+    conditions: &FetchConditions,
 ) -> Option<(SourceKind, u32)> {
     let piece = missing.piece;
     let rank = spread.rank(piece).unwrap_or(0) as u32;
@@ -114,12 +114,12 @@
         return Some((SourceKind::Offer, rank));
     }
     if missing.near > 0 {
-        return Some((SourceKind::Near, NEAR_FROM + missing.near as u32));
+        return Some((SourceKind::OwnRegion, NEAR_FROM + missing.near as u32));
     }
     let known_ms = missing.far_known_ms / CROSSING_SLOWNESS;
     let crosses = spread.permission(piece, conditions.patience, known_ms);
-    if crosses.across_regions && missing.far > 0 && conditions.may_cross {
-        return Some((SourceKind::Far, 1));
+    if crosses.across_regions && missing.far > 0 && conditions.may_cross_regions {
+        return Some((SourceKind::OtherRegions, 1));
     }
     let overdue_ms = conditions.overdue_ms(piece);
     let unborne_ms = match missing.is_on_its_way() {
@@ -130,7 +130,7 @@
     let is_let_in = conditions.may_return(rank);
     let takes_over = spread.is_in_origin_region() && conditions.is_passed_over(&missing, rank);
     let is_due = conditions.has_turn(piece) && is_let_in;
-    if (draws.from_origin || takes_over) && is_due && conditions.origin_is_free {
+    if (draws.from_origin || takes_over) && is_due && conditions.can_ask_origin {
         return Some((SourceKind::Origin, rank));
     }
     None
@@ -152,12 +152,16 @@
 /// Whether the agent says that it draws the piece from the origin: it is the one
 /// that does, the turn of the piece has come, and the origin did not refuse it the
 /// last time. It may still be busy with the piece before it.
-pub fn announces(piece: u32, spread: &Spread, conditions: &Conditions) -> bool {
+pub fn should_announce(
+    piece: u32,
+    spread: &DistributionTrees,
+    conditions: &FetchConditions,
+) -> bool {
     let is_first = spread.is_in_origin_region() && spread.rank(piece) == Some(0);
     is_first && conditions.has_turn(piece) && conditions.origin_failed_ms.is_none()
 }
 
-impl Conditions {
+impl FetchConditions {
     /// Whether the turn of the piece has come. The origin gives one piece after
     /// the other: it shares its link among all that is asked for, and the first
     /// piece would come with the last.
--- a/crates/moleroad_rollout/src/lib.rs
+++ b/crates/moleroad_rollout/src/lib.rs
@@ -12,7 +12,7 @@
 //! ```
 //! use moleroad_rollout::prelude::*;
 //!
-//! let plan = WavePlan { engines: 12, turn_ms: 1_000, begin_from_ms: 2_000, begin_by_ms: 5_000 };
+//! let plan = WavePlan { engines: 12, turn_ms: 1_000, earliest_start_ms: 2_000, latest_start_ms: 5_000 };
 //! assert_eq!(plan.at_once(2_000), 3);
 //! ```
 #![warn(missing_docs)]
@@ -33,15 +33,17 @@
     pub use crate::arrival::Arrival;
     pub use crate::bound::OldWeights;
     pub use crate::choice::{
-        ANNOUNCE_EVERY_MS, Conditions, MissingPiece, STALL_MS, SourceKind, announces, source_of,
+        ANNOUNCE_EVERY_MS, FetchConditions, MissingPiece, STALL_MS, SourceKind, choose_source,
+        should_announce,
     };
     pub use crate::fallback::fallback;
-    pub use crate::overtaking::Overtaking;
-    pub use crate::pause::Pause;
+    pub use crate::overtaking::SupersededFetch;
+    pub use crate::pause::Backoff;
     pub use crate::sources::{
-        AskedHolder, Member, Patience, Permission, copy_ms, may_ask_origin_for_digests,
+        AllowedSources, DigestQueryResult, Member, TakeoverTimeouts, copy_ms,
+        may_ask_origin_for_digests,
     };
-    pub use crate::spread::Spread;
-    pub use crate::turns::Turns;
+    pub use crate::spread::DistributionTrees;
+    pub use crate::turns::OriginSchedule;
     pub use crate::waves::WavePlan;
 }
--- a/crates/moleroad_rollout/src/overtaking.rs
+++ b/crates/moleroad_rollout/src/overtaking.rs
@@ -1,6 +1,6 @@
 //! When a version that is being fetched is given up for a newer one.
 
-use crate::sources::Patience;
+use crate::sources::TakeoverTimeouts;
 
 /// A version of which this share is here is finished though a newer one is
 /// wanted: engines serve it meanwhile. Below it the newer one is here sooner
@@ -20,23 +20,23 @@
 
 /// What an agent knows of a version that it fetches and of newer ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Overtaking {
+pub struct SupersededFetch {
     /// Pieces that make up the version.
     pub pieces: u32,
     /// Pieces that are not here.
     pub missing: u32,
     /// Pieces of these that no agent is known to have.
-    pub not_out: u32,
+    pub unreleased: u32,
     /// Whether the version stands in for a newer one that does not come.
     pub is_fallback: bool,
     /// Time since a piece last came, in milliseconds.
     pub idle_ms: u64,
     /// How long agents keep to the division of work.
-    pub patience: Patience,
+    pub patience: TakeoverTimeouts,
     /// Newer versions that were named.
     pub newer: usize,
     /// Whether something of a newer version is known to have left the origin.
-    pub newer_comes: bool,
+    pub newer_released: bool,
     /// Time until requests may begin on newer versions only, in milliseconds.
     pub usable_ms: u64,
     /// Time in which the pieces that are not out leave the origin and an engine
@@ -44,9 +44,9 @@
     pub finish_ms: u64,
 }
 
-impl Overtaking {
+impl SupersededFetch {
     /// Whether the version is given up. The newest one never is.
-    pub fn gives_up(&self) -> bool {
+    pub fn should_abandon(&self) -> bool {
         if self.newer == 0 {
             return false;
         }
@@ -62,7 +62,7 @@
     /// drawn before the version is given up, so that agents have it between them
     /// should the origin fail.
     fn is_mostly_out(&self) -> bool {
-        self.not_out > 0 && f64::from(self.not_out) <= self.part(1.0 - MOSTLY_OUT_SHARE)
+        self.unreleased > 0 && f64::from(self.unreleased) <= self.part(1.0 - MOSTLY_OUT_SHARE)
     }
 
     /// Whether to wait for an origin that gives nothing: the newer version needs
@@ -70,10 +70,10 @@
     /// this one in between. An origin need have no more than the two newest
     /// versions.
     fn is_worth_waiting_for(&self) -> bool {
-        let is_small = f64::from(self.not_out) <= self.part(1.0 - FINISHED_FROM_SHARE);
+        let is_small = f64::from(self.unreleased) <= self.part(1.0 - FINISHED_FROM_SHARE);
         let is_usable = self.usable_ms >= self.finish_ms + LEAST_USE_MS;
         let is_recent = self.idle_ms <= LONGEST_WAIT_MS;
-        self.newer == 1 && !self.newer_comes && is_small && is_usable && is_recent
+        self.newer == 1 && !self.newer_released && is_small && is_usable && is_recent
     }
 
     fn part(&self, share: f64) -> f64 {
--- a/crates/moleroad_rollout/src/pause.rs
+++ b/crates/moleroad_rollout/src/pause.rs
@@ -9,21 +9,21 @@
 
 /// A pause that doubles with each refusal in a row and ends with a success.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Pause {
+pub struct Backoff {
     until: Millis,
     length_ms: u64,
     longest_ms: u64,
 }
 
-impl Default for Pause {
+impl Default for Backoff {
     fn default() -> Self {
-        Self::of_at_most(LONGEST_MS)
+        Self::with_max(LONGEST_MS)
     }
 }
 
-impl Pause {
+impl Backoff {
     /// Pauses of about `longest_ms` at the most.
-    pub fn of_at_most(longest_ms: u64) -> Self {
+    pub fn with_max(longest_ms: u64) -> Self {
         Self {
             until: Millis(0),
             length_ms: 0,
@@ -39,7 +39,7 @@
             return;
         }
         // Calls that were under way together count as one refusal.
-        if self.lasts(now) {
+        if self.is_active(now) {
             return;
         }
         self.length_ms = (self.length_ms * 2).clamp(FIRST_MS, self.longest_ms);
@@ -48,11 +48,11 @@
 
     /// Ends the pause: the source is known to give again.
     pub fn end(&mut self) {
-        *self = Self::of_at_most(self.longest_ms);
+        *self = Self::with_max(self.longest_ms);
     }
 
     /// Whether the source is left alone now.
-    pub fn lasts(&self, now: Millis) -> bool {
+    pub fn is_active(&self, now: Millis) -> bool {
         now < self.until
     }
 }
--- a/crates/moleroad_rollout/src/sources.rs
+++ b/crates/moleroad_rollout/src/sources.rs
@@ -13,7 +13,7 @@
 
 /// What an agent may do for one piece.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Permission {
+pub struct AllowedSources {
     /// Take it from agents of other regions.
     pub across_regions: bool,
     /// Take it from the origin.
@@ -22,7 +22,7 @@
 
 /// How long an agent that gets nothing keeps to the division of work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Patience {
+pub struct TakeoverTimeouts {
     /// Without a new piece for this long the next agent of the region takes
     /// over from the one before it, in milliseconds.
     pub across_regions_ms: u64,
@@ -31,7 +31,7 @@
     pub origin_ms: u64,
 }
 
-impl Patience {
+impl TakeoverTimeouts {
     /// Patience that fits pieces of `piece_bytes` over a link of `link_mbps`.
     pub fn for_pieces(piece_bytes: u64, link_mbps: f64) -> Self {
         let piece_ms = piece_bytes as f64 * 8.0 / (link_mbps.max(0.1) * 1_000.0);
@@ -61,17 +61,17 @@
 
 /// What came of asking another agent for the digests of a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AskedHolder {
+pub enum DigestQueryResult {
     /// Nobody that might have them was reached.
-    NobodyKnows,
+    NoHolderReached,
     /// It has pieces and no digests.
-    HasPiecesOnly,
+    PiecesOnly,
 }
 
 /// Whether an agent asks the origin for the digests of a version.
 ///
 /// An engine that held the weights from its start needs no digests, and its
 /// agent never asks for them: to wait until others bring them is in vain.
-pub fn may_ask_origin_for_digests(is_own_turn: bool, asked: AskedHolder) -> bool {
-    is_own_turn || asked == AskedHolder::HasPiecesOnly
+pub fn may_ask_origin_for_digests(is_own_turn: bool, asked: DigestQueryResult) -> bool {
+    is_own_turn || asked == DigestQueryResult::PiecesOnly
 }
--- a/crates/moleroad_rollout/src/spread.rs
+++ b/crates/moleroad_rollout/src/spread.rs
@@ -6,10 +6,10 @@
 //! that takes the piece from the origin. Regions hang below each other by their
 //! first agents, so that a piece enters each region once; within a region
 //! the agents form a binary tree. An agent that gets a piece tells its children
-//! at once ([`Spread::children`]): news by way of the directory takes longer
+//! at once ([`DistributionTrees::children`]): news by way of the directory takes longer
 //! than a piece takes on a link.
 
-use crate::sources::{Member, Patience, Permission};
+use crate::sources::{AllowedSources, Member, TakeoverTimeouts};
 use moleroad_types::prelude::InstanceId;
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -32,7 +32,7 @@
 
 /// The trees of all pieces of a version, as seen by one agent.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Spread {
+pub struct DistributionTrees {
     own: InstanceId,
     is_in_origin_region: bool,
     /// Agents by region, without the first one.
@@ -42,7 +42,7 @@
     places: Vec<Option<Place>>,
 }
 
-impl Spread {
+impl DistributionTrees {
     /// The trees of `pieces` pieces over `members`; `origin_region` is where
     /// the origin stands, if that is known.
     pub fn new(
@@ -100,21 +100,26 @@
     /// at once; the second may after one time of patience, the third after two,
     /// and so on: agents that all lose patience at the same time would take the
     /// connections of the origin from each other.
-    pub fn permission(&self, piece: u32, patience: Patience, idle_ms: u64) -> Permission {
+    pub fn permission(
+        &self,
+        piece: u32,
+        patience: TakeoverTimeouts,
+        idle_ms: u64,
+    ) -> AllowedSources {
         let Some(place) = self.place(piece) else {
-            return Permission {
+            return AllowedSources {
                 across_regions: true,
                 from_origin: true,
             };
         };
         let turn_ms = place.rank as u64 * patience.across_regions_ms;
         if place.is_first_region {
-            Permission {
+            AllowedSources {
                 across_regions: idle_ms >= turn_ms + patience.across_regions_ms,
                 from_origin: idle_ms >= turn_ms,
             }
         } else {
-            Permission {
+            AllowedSources {
                 across_regions: idle_ms >= turn_ms,
                 from_origin: idle_ms >= turn_ms + patience.origin_ms,
             }
--- a/crates/moleroad_rollout/src/turns.rs
+++ b/crates/moleroad_rollout/src/turns.rs
@@ -7,9 +7,9 @@
 /// At first these are all pieces. After a stall only the pieces that are still
 /// missing have one: the others need no time of the origin's link.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Turns(Option<Arc<[u32]>>);
+pub struct OriginSchedule(Option<Arc<[u32]>>);
 
-impl Turns {
+impl OriginSchedule {
     /// All pieces, from the first.
     pub fn all() -> Self {
         Self(None)
--- a/crates/moleroad_rollout/src/waves.rs
+++ b/crates/moleroad_rollout/src/waves.rs
@@ -13,23 +13,23 @@
     pub turn_ms: u64,
     /// Time after the version was named at which the first engines can begin,
     /// in milliseconds.
-    pub begin_from_ms: u64,
+    pub earliest_start_ms: u64,
     /// Time after the version was named at which all that are left begin, in
     /// milliseconds.
-    pub begin_by_ms: u64,
+    pub latest_start_ms: u64,
 }
 
 impl WavePlan {
     /// Waves that there is time for, when the first begins `from_ms` after the
     /// version was named.
     fn waves(&self, from_ms: u64) -> u64 {
-        1 + self.begin_by_ms.saturating_sub(from_ms) / self.turn_ms.max(1)
+        1 + self.latest_start_ms.saturating_sub(from_ms) / self.turn_ms.max(1)
     }
 
     /// Engines that change over at once: as few as the time allows, when all
     /// pieces were there `staged_ms` after the version was named.
     pub fn at_once(&self, staged_ms: u64) -> usize {
-        let waves = self.waves(staged_ms.max(self.begin_from_ms));
+        let waves = self.waves(staged_ms.max(self.earliest_start_ms));
         self.engines.div_ceil(waves as usize).max(1)
     }
 
@@ -46,10 +46,10 @@
         elapsed_ms: u64,
         staged_ms: u64,
     ) -> bool {
-        if elapsed_ms >= self.begin_by_ms {
+        if elapsed_ms >= self.latest_start_ms {
             return true;
         }
-        let from_ms = staged_ms.max(self.begin_from_ms);
+        let from_ms = staged_ms.max(self.earliest_start_ms);
         let own_weight = weight(own);
         let goes_before = |other: &&InstanceId| weight(other) > own_weight;
         let rank = others.into_iter().filter(goes_before).count();
--- a/crates/moleroad_rollout/tests/model/mod.rs
+++ b/crates/moleroad_rollout/tests/model/mod.rs
@@ -110,7 +110,7 @@
     began_ms: u64,
     /// Since when the pieces have their turns at the origin.
     divided_ms: u64,
-    turns: Turns,
+    turns: OriginSchedule,
     progress_ms: u64,
     held: HashSet<u32>,
     offers: HashMap<u32, Vec<usize>>,
@@ -118,12 +118,12 @@
     announced_own: HashMap<u32, u64>,
     under_way: HashMap<u32, From>,
     rests: HashMap<(u32, From), u64>,
-    origin_pause: Pause,
+    origin_pause: Backoff,
     origin_failed_ms: Option<u64>,
     far_known_ms: HashMap<u32, u64>,
     up_free_ms: u64,
     down_free_ms: u64,
-    spread: Spread,
+    spread: DistributionTrees,
 }
 
 impl Agent {
@@ -131,7 +131,7 @@
         if now - self.progress_ms >= STALL_MS {
             self.divided_ms = now;
             let missing: Vec<u32> = (0..pieces).filter(|p| !self.held.contains(p)).collect();
-            self.turns = Turns::of_missing(&missing);
+            self.turns = OriginSchedule::of_missing(&missing);
             self.origin_pause.end();
             if from == From::Origin {
                 self.origin_failed_ms = None;
@@ -181,7 +181,7 @@
                 began_ms: random.random_range(0..200),
                 // All know when the version was named.
                 divided_ms: 0,
-                turns: Turns::all(),
+                turns: OriginSchedule::all(),
                 progress_ms: 0,
                 held: HashSet::new(),
                 offers: HashMap::new(),
@@ -189,12 +189,17 @@
                 announced_own: HashMap::new(),
                 under_way: HashMap::new(),
                 rests: HashMap::new(),
-                origin_pause: Pause::of_at_most(400),
+                origin_pause: Backoff::with_max(400),
                 origin_failed_ms: None,
                 far_known_ms: HashMap::new(),
                 up_free_ms: 0,
                 down_free_ms: 0,
-                spread: Spread::new(&name(index), &members, Some("region-0"), setup.pieces),
+                spread: DistributionTrees::new(
+                    &name(index),
+                    &members,
+                    Some("region-0"),
+                    setup.pieces,
+                ),
             })
             .collect();
         let mut swarm = Self {
@@ -386,21 +391,21 @@
     fn next(&mut self, now: u64, index: usize, takes_more: bool) -> Option<(u32, From)> {
         let mut far_known_ms = std::mem::take(&mut self.agents[index].far_known_ms);
         let agent = &self.agents[index];
-        let conditions = Conditions {
-            patience: Patience::for_pieces(self.setup.link_piece_ms * 1_000 / 8, 1.0),
+        let conditions = FetchConditions {
+            patience: TakeoverTimeouts::for_pieces(self.setup.link_piece_ms * 1_000 / 8, 1.0),
             elapsed_ms: now - agent.divided_ms,
             turns: agent.turns.clone(),
             origin_piece_ms: self.setup.origin_piece_ms,
             link_piece_ms: self.setup.link_piece_ms,
-            origin_is_free: !agent.origin_pause.lasts(Millis(now))
+            can_ask_origin: !agent.origin_pause.is_active(Millis(now))
                 && !agent.under_way.values().any(|from| *from == From::Origin),
-            may_cross: true,
+            may_cross_regions: true,
             newest_seen: agent.held.iter().chain(agent.offers.keys()).max().copied(),
             origin_failed_ms: agent.origin_failed_ms.map(|failed| now - failed),
         };
         let missing = (0..self.setup.pieces).filter(|piece| !agent.held.contains(piece));
         let due: Vec<u32> = missing
-            .filter(|piece| announces(*piece, &agent.spread, &conditions))
+            .filter(|piece| should_announce(*piece, &agent.spread, &conditions))
             .collect();
         due.into_iter()
             .for_each(|piece| self.announce(now, index, piece));
@@ -444,7 +449,7 @@
                     0
                 },
             };
-            if let Some((kind, order)) = source_of(missing, &agent.spread, &conditions)
+            if let Some((kind, order)) = choose_source(missing, &agent.spread, &conditions)
                 && (takes_more || kind == SourceKind::Origin)
                 && best.is_none_or(|(_, _, known)| order < known)
             {
@@ -474,8 +479,8 @@
         let holders = match kind {
             SourceKind::Origin => return Some((piece, From::Origin)),
             SourceKind::Offer => offers.into_iter().find(is_sound).into_iter().collect(),
-            SourceKind::Near => holders(true),
-            SourceKind::Far => holders(false),
+            SourceKind::OwnRegion => holders(true),
+            SourceKind::OtherRegions => holders(false),
         };
         let draw = self.random.random_range(0..holders.len());
         Some((piece, From::Agent(holders[draw])))
--- a/crates/moleroad_rollout/tests/overtaking.rs
+++ b/crates/moleroad_rollout/tests/overtaking.rs
@@ -4,16 +4,16 @@
 
 /// 96 pieces, a tenth of them not out, a newer version named, the origin away
 /// for two seconds.
-fn stuck() -> Overtaking {
-    Overtaking {
+fn stuck() -> SupersededFetch {
+    SupersededFetch {
         pieces: 96,
         missing: 10,
-        not_out: 10,
+        unreleased: 10,
         is_fallback: false,
         idle_ms: 2_000,
-        patience: Patience::for_pieces(24_576, 7.3),
+        patience: TakeoverTimeouts::for_pieces(24_576, 7.3),
         newer: 1,
-        newer_comes: false,
+        newer_released: false,
         usable_ms: 6_000,
         finish_ms: 900,
     }
@@ -21,61 +21,61 @@
 
 #[test]
 fn the_rest_of_a_copy_is_waited_for_while_the_origin_gives_nothing_newer() {
-    assert!(!stuck().gives_up());
+    assert!(!stuck().should_abandon());
 }
 
 #[test]
 fn a_version_is_given_up_once_the_newer_one_comes() {
-    let comes = Overtaking {
-        newer_comes: true,
+    let comes = SupersededFetch {
+        newer_released: true,
         ..stuck()
     };
-    assert!(comes.gives_up());
+    assert!(comes.should_abandon());
     // Not while its own pieces still come.
-    let progress = Overtaking {
+    let progress = SupersededFetch {
         idle_ms: 100,
         ..comes
     };
-    assert!(!progress.gives_up());
+    assert!(!progress.should_abandon());
 }
 
 #[test]
 fn a_version_that_could_hardly_be_served_is_given_up() {
-    let late = Overtaking {
+    let late = SupersededFetch {
         usable_ms: 1_500,
         ..stuck()
     };
-    assert!(late.gives_up());
+    assert!(late.should_abandon());
 }
 
 #[test]
 fn a_version_whose_rest_stays_away_is_given_up_however_long_it_could_be_served() {
-    let away = Overtaking {
+    let away = SupersededFetch {
         idle_ms: 11_000,
         usable_ms: 3_600_000,
         ..stuck()
     };
-    assert!(away.gives_up());
+    assert!(away.should_abandon());
 }
 
 #[test]
 fn a_version_that_the_origin_no_longer_has_is_given_up() {
-    let overtaken_twice = Overtaking {
+    let overtaken_twice = SupersededFetch {
         newer: 2,
         ..stuck()
     };
-    assert!(overtaken_twice.gives_up());
+    assert!(overtaken_twice.should_abandon());
 }
 
 #[test]
 fn a_version_of_which_little_is_out_is_given_up_at_once() {
-    let little = Overtaking {
+    let little = SupersededFetch {
         missing: 80,
-        not_out: 70,
+        unreleased: 70,
         idle_ms: 0,
         ..stuck()
     };
-    assert!(little.gives_up());
-    let newest = Overtaking { newer: 0, ..little };
-    assert!(!newest.gives_up());
+    assert!(little.should_abandon());
+    let newest = SupersededFetch { newer: 0, ..little };
+    assert!(!newest.should_abandon());
 }
