--- a/crates/moleroad_rollout/tests/rollout.rs
+++ b/crates/moleroad_rollout/tests/rollout.rs
@@ -21,21 +21,21 @@
     members: &[Member],
     origin_region: Option<&str>,
     piece: u32,
-    patience: Patience,
+    patience: TakeoverTimeouts,
     idle_ms: u64,
-) -> Permission {
-    let spread = Spread::new(own, members, origin_region, PIECES);
+) -> AllowedSources {
+    let spread = DistributionTrees::new(own, members, origin_region, PIECES);
     spread.permission(piece, patience, idle_ms)
 }
 
 fn granted(idle_ms: u64, piece: u32) -> (usize, usize) {
     let members = members();
-    let patience = Patience::for_pieces(49_152, 9.4);
+    let patience = TakeoverTimeouts::for_pieces(49_152, 9.4);
     let all = members.iter().map(|member| {
         let own = &member.instance;
         permission(own, &members, Some("south"), piece, patience, idle_ms)
     });
-    let all: Vec<Permission> = all.collect();
+    let all: Vec<AllowedSources> = all.collect();
     (
         all.iter().filter(|p| p.from_origin).count(),
         all.iter().filter(|p| p.across_regions).count(),
@@ -51,7 +51,7 @@
 
 #[test]
 fn agents_that_get_nothing_take_over_one_after_the_other() {
-    let patience = Patience::for_pieces(49_152, 9.4);
+    let patience = TakeoverTimeouts::for_pieces(49_152, 9.4);
     let turn_ms = patience.across_regions_ms;
     // Four agents in each of three regions.
     assert_eq!(granted(turn_ms - 1, 7), (1, 2));
@@ -72,7 +72,7 @@
         region: ["north", "south"][index % 2].into(),
     };
     let members: Vec<Member> = (0..300).map(member).collect();
-    let patience = Patience::for_pieces(49_152, 9.4);
+    let patience = TakeoverTimeouts::for_pieces(49_152, 9.4);
     let asks = |member: &&Member| {
         let own = &member.instance;
         let idle_ms = 2 * patience.origin_ms;
@@ -84,9 +84,9 @@
 #[test]
 fn offers_reach_every_agent_once_and_enter_each_region_by_the_agent_that_may_carry() {
     let members = members();
-    let patience = Patience::for_pieces(49_152, 9.4);
+    let patience = TakeoverTimeouts::for_pieces(49_152, 9.4);
     let own = &members[0].instance;
-    let spread = Spread::new(own, &members, Some("south"), PIECES);
+    let spread = DistributionTrees::new(own, &members, Some("south"), PIECES);
     let region_of = |agent: &InstanceId| {
         let member = members.iter().find(|member| member.instance == *agent);
         member.unwrap().region.clone()
@@ -123,7 +123,7 @@
 #[test]
 fn an_agent_that_is_no_member_has_no_place_in_the_trees() {
     let stranger = InstanceId::new("stranger");
-    let spread = Spread::new(&stranger, &members(), Some("south"), PIECES);
+    let spread = DistributionTrees::new(&stranger, &members(), Some("south"), PIECES);
     assert_eq!(spread.rank(3), None);
     assert!(spread.children(&stranger, 3).is_empty());
 }
@@ -131,28 +131,28 @@
 #[test]
 fn the_origin_is_asked_for_one_piece_after_the_other() {
     let members = members();
-    let patience = Patience::for_pieces(49_152, 9.4);
-    let conditions = |elapsed_ms| Conditions {
+    let patience = TakeoverTimeouts::for_pieces(49_152, 9.4);
+    let conditions = |elapsed_ms| FetchConditions {
         patience,
         elapsed_ms,
-        turns: Turns::all(),
+        turns: OriginSchedule::all(),
         origin_piece_ms: 26,
         link_piece_ms: 42,
-        origin_is_free: true,
+        can_ask_origin: true,
         origin_failed_ms: None,
-        may_cross: true,
+        may_cross_regions: true,
         newest_seen: None,
     };
     let asks = |elapsed_ms: u64| {
         let asked = members.iter().flat_map(|member| {
-            let spread = Spread::new(&member.instance, &members, Some("south"), PIECES);
+            let spread = DistributionTrees::new(&member.instance, &members, Some("south"), PIECES);
             let conditions = conditions(elapsed_ms);
             (0..48).filter(move |piece| {
                 let missing = MissingPiece {
                     piece: *piece,
                     ..MissingPiece::default()
                 };
-                let source = source_of(missing, &spread, &conditions);
+                let source = choose_source(missing, &spread, &conditions);
                 matches!(source, Some((SourceKind::Origin, _)))
             })
         });
@@ -176,16 +176,16 @@
 fn what_was_offered_goes_before_what_is_known_by_the_directory() {
     let members = members();
     let own = &members[1].instance;
-    let spread = Spread::new(own, &members, Some("south"), PIECES);
-    let conditions = Conditions {
-        patience: Patience::for_pieces(49_152, 9.4),
+    let spread = DistributionTrees::new(own, &members, Some("south"), PIECES);
+    let conditions = FetchConditions {
+        patience: TakeoverTimeouts::for_pieces(49_152, 9.4),
         elapsed_ms: 0,
-        turns: Turns::all(),
+        turns: OriginSchedule::all(),
         origin_piece_ms: 26,
         link_piece_ms: 42,
-        origin_is_free: false,
+        can_ask_origin: false,
         origin_failed_ms: None,
-        may_cross: true,
+        may_cross_regions: true,
         newest_seen: None,
     };
     let known = |offered, near| MissingPiece {
@@ -194,12 +194,15 @@
         near,
         ..MissingPiece::default()
     };
-    let order = |missing| source_of(missing, &spread, &conditions);
+    let order = |missing| choose_source(missing, &spread, &conditions);
     let (offer, near) = (
         order(known(true, 2)).unwrap(),
         order(known(false, 2)).unwrap(),
     );
-    assert_eq!((offer.0, near.0), (SourceKind::Offer, SourceKind::Near));
+    assert_eq!(
+        (offer.0, near.0),
+        (SourceKind::Offer, SourceKind::OwnRegion)
+    );
     assert!(offer.1 < near.1);
     // Rare pieces first.
     assert!(near.1 < order(known(false, 3)).unwrap().1);
@@ -209,7 +212,7 @@
 #[test]
 fn an_agent_that_is_alone_goes_to_the_origin() {
     let own = InstanceId::new("alone");
-    let patience = Patience::for_pieces(1_000, 10.0);
+    let patience = TakeoverTimeouts::for_pieces(1_000, 10.0);
     let alone = permission(&own, &[], None, 3, patience, 0);
     assert!(alone.from_origin);
 }
@@ -217,7 +220,7 @@
 #[test]
 fn work_is_spread_over_the_agents_of_the_first_region() {
     let members = members();
-    let patience = Patience::for_pieces(49_152, 9.4);
+    let patience = TakeoverTimeouts::for_pieces(49_152, 9.4);
     for member in members.iter().filter(|member| member.region == "south") {
         let draws = (0..400)
             .filter(|piece| {
@@ -245,8 +248,8 @@
     let plan = WavePlan {
         engines: 20,
         turn_ms: 1_200,
-        begin_from_ms: 2_800,
-        begin_by_ms: 5_800,
+        earliest_start_ms: 2_800,
+        latest_start_ms: 5_800,
     };
     let names: Vec<InstanceId> = (0..20)
         .map(|index| InstanceId::new(format!("agent-{index}")))
@@ -266,7 +269,7 @@
             .enumerate()
             .map(|(index, own)| begins_at(own, index))
             .collect();
-        assert!(times.iter().all(|at| *at <= plan.begin_by_ms));
+        assert!(times.iter().all(|at| *at <= plan.latest_start_ms));
         let changing = |at: u64| {
             let begun = times
                 .iter()
@@ -289,11 +292,11 @@
 
 #[test]
 fn a_source_that_refuses_is_left_alone_for_longer_each_time() {
-    let mut pause = Pause::default();
+    let mut pause = Backoff::default();
     let mut now = Millis(0);
     let mut calls = 0;
     while now < Millis(10_000) {
-        if !pause.lasts(now) {
+        if !pause.is_active(now) {
             calls += 1;
             pause.note(now, false, 0);
         }
@@ -302,27 +305,27 @@
     assert!(calls < 25, "{calls} calls");
     assert!(calls > 8, "{calls} calls");
     pause.note(now, true, 0);
-    assert!(!pause.lasts(now));
+    assert!(!pause.is_active(now));
 }
 
 #[test]
 fn a_pause_is_as_long_as_its_owner_says_and_can_be_ended() {
-    let mut pause = Pause::of_at_most(400);
+    let mut pause = Backoff::with_max(400);
     for _ in 0..10 {
         pause.note(Millis(0), false, 399);
         pause.end();
     }
     let mut now = Millis(0);
     for _ in 0..10 {
-        while pause.lasts(now) {
+        while pause.is_active(now) {
             now = now + 1;
         }
         pause.note(now, false, 399);
     }
     // Half of it, and what the draw adds.
-    assert!(pause.lasts(now + 590) && !pause.lasts(now + 600));
+    assert!(pause.is_active(now + 590) && !pause.is_active(now + 600));
     pause.end();
-    assert!(!pause.lasts(now));
+    assert!(!pause.is_active(now));
 }
 
 #[test]
@@ -336,7 +339,7 @@
     };
     let members: Vec<Member> = (0..25).map(member).collect();
     let (dead, alive) = members.split_at(4);
-    let patience = Patience::for_pieces(49_152, 9.4);
+    let patience = TakeoverTimeouts::for_pieces(49_152, 9.4);
     let is_allowed = |member: &Member, piece, waited_ms| {
         let own = &member.instance;
         permission(own, &members, Some("south"), piece, patience, waited_ms).from_origin
@@ -371,20 +374,26 @@
 fn an_engine_that_joins_does_not_wait_for_digests_that_no_agent_has() {
     assert!(may_ask_origin_for_digests(
         false,
-        AskedHolder::HasPiecesOnly
+        DigestQueryResult::PiecesOnly
+    ));
+    assert!(!may_ask_origin_for_digests(
+        false,
+        DigestQueryResult::NoHolderReached
+    ));
+    assert!(may_ask_origin_for_digests(
+        true,
+        DigestQueryResult::NoHolderReached
     ));
-    assert!(!may_ask_origin_for_digests(false, AskedHolder::NobodyKnows));
-    assert!(may_ask_origin_for_digests(true, AskedHolder::NobodyKnows));
 }
 
 #[test]
 fn an_engine_with_older_weights_and_a_silent_agent_is_left_at_half_time() {
     let old = OldWeights::new(Millis(10_000), 8_000);
     assert!(old.last_start < Millis(18_000));
-    assert!(old.may_go_unheard(Millis(13_000)));
+    assert!(old.may_send_to_silent(Millis(13_000)));
     // A request that left at 15.9 s began at 18.07 s.
-    assert!(!old.may_go_unheard(Millis(15_900)));
-    assert!(!old.may_go_unheard(Millis(14_000)));
+    assert!(!old.may_send_to_silent(Millis(15_900)));
+    assert!(!old.may_send_to_silent(Millis(14_000)));
 }
 
 #[test]
@@ -392,40 +401,40 @@
     let members = members();
     let piece = 7;
     let of_rank = |rank: usize| {
-        let mut spreads = members
-            .iter()
-            .map(|member| Spread::new(&member.instance, &members, Some("south"), PIECES));
+        let mut spreads = members.iter().map(|member| {
+            DistributionTrees::new(&member.instance, &members, Some("south"), PIECES)
+        });
         spreads.find(|spread| spread.is_in_origin_region() && spread.rank(piece) == Some(rank))
     };
     let (first, second) = (of_rank(0).unwrap(), of_rank(1).unwrap());
-    let conditions = |elapsed_ms, newest_seen| Conditions {
-        patience: Patience::for_pieces(49_152, 9.4),
+    let conditions = |elapsed_ms, newest_seen| FetchConditions {
+        patience: TakeoverTimeouts::for_pieces(49_152, 9.4),
         elapsed_ms,
-        turns: Turns::all(),
+        turns: OriginSchedule::all(),
         origin_piece_ms: 43,
         link_piece_ms: 42,
-        origin_is_free: true,
+        can_ask_origin: true,
         origin_failed_ms: None,
-        may_cross: true,
+        may_cross_regions: true,
         newest_seen,
     };
-    let draws = |spread: &Spread, announced_ms, conditions: Conditions| {
+    let draws = |spread: &DistributionTrees, announced_ms, conditions: FetchConditions| {
         let missing = MissingPiece {
             piece,
             announced_ms,
             ..MissingPiece::default()
         };
-        source_of(missing, spread, &conditions).is_some()
+        choose_source(missing, spread, &conditions).is_some()
     };
     assert!(draws(&first, None, conditions(260, None)));
-    assert!(announces(piece, &first, &conditions(260, None)));
-    assert!(!announces(piece, &second, &conditions(260, None)));
+    assert!(should_announce(piece, &first, &conditions(260, None)));
+    assert!(!should_announce(piece, &second, &conditions(260, None)));
     // Whom the origin refused says nothing that others would wait for.
-    let refused = Conditions {
+    let refused = FetchConditions {
         origin_failed_ms: Some(100),
         ..conditions(260, None)
     };
-    assert!(!announces(piece, &first, &refused));
+    assert!(!should_announce(piece, &first, &refused));
     // Nothing was heard of the first, and the origin has gone on.
     assert!(!draws(&second, None, conditions(400, Some(9))));
     assert!(draws(&second, None, conditions(700, Some(12))));
