--- a/crates/moleroad_directory/src/changes.rs
+++ b/crates/moleroad_directory/src/changes.rs
@@ -5,7 +5,7 @@
 //! [`crate::news`] tells what changed since a number.
 
 use crate::daemon::DaemonRecord;
-use crate::directory::{Directory, Heard};
+use crate::directory::{Directory, Observed};
 use crate::slots::Slot;
 use moleroad_types::prelude::{InstanceId, Millis};
 use serde::{Deserialize, Serialize};
@@ -138,7 +138,7 @@
 
 /// One life of a daemon and how far it had come.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Life {
+pub struct RecordVersion {
     /// Instance it runs on.
     pub instance: InstanceId,
     /// Drawn at each start.
@@ -147,7 +147,7 @@
     pub sequence: u64,
 }
 
-impl Life {
+impl RecordVersion {
     /// The life that wrote a record.
     pub fn of(record: &DaemonRecord) -> Self {
         Self {
@@ -178,7 +178,7 @@
 
 impl Directory {
     /// Notes that a daemon spoke to this process itself.
-    pub fn note_first_hand(&mut self, now: Millis, instance: &InstanceId) {
+    pub fn record_direct_contact(&mut self, now: Millis, instance: &InstanceId) {
         let position = self.position + 1;
         let Some(heard) = self.daemons.get_mut(instance) else {
             return;
@@ -194,7 +194,7 @@
     }
 
     /// Takes a sign of life; false when its instance is not known here.
-    pub fn hear_life(&mut self, now: Millis, life: &Life, age_ms: u64) -> bool {
+    pub fn hear_life(&mut self, now: Millis, life: &RecordVersion, age_ms: u64) -> bool {
         let at = Millis(now.0.saturating_sub(age_ms));
         let Some(known) = self.daemons.get_mut(&life.instance) else {
             return false;
@@ -206,7 +206,13 @@
     }
 
     /// Takes news of load; true if it is news of a life that is known.
-    pub fn hear_load(&mut self, now: Millis, life: &Life, load: LoadNews, age_ms: u64) -> bool {
+    pub fn hear_load(
+        &mut self,
+        now: Millis,
+        life: &RecordVersion,
+        load: LoadNews,
+        age_ms: u64,
+    ) -> bool {
         let Some(known) = self.daemons.get(&life.instance) else {
             return false;
         };
@@ -217,11 +223,11 @@
         let mut record = known.record.clone();
         record.sequence = life.sequence;
         load.put_into(&mut record);
-        self.hear_daemon(now, record, age_ms)
+        self.merge_daemon(now, record, age_ms)
     }
 }
 
-impl<T: Clone> Heard<T> {
+impl<T: Clone> Observed<T> {
     /// The record with its age.
     pub fn aged(&self, now: Millis) -> Aged<T> {
         Aged {
--- a/crates/moleroad_directory/src/directory.rs
+++ b/crates/moleroad_directory/src/directory.rs
@@ -4,13 +4,13 @@
 use crate::daemon::{DaemonRecord, DaemonRole, DaemonState};
 use crate::limit::WordsHeard;
 use crate::slots::Slots;
-use crate::target::{TargetId, TargetLife, TargetRecord};
+use crate::target::{TargetId, TargetLifecycle, TargetRecord};
 use moleroad_types::prelude::{InstanceId, Millis};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
 /// Silence after which a daemon is not named to callers, in milliseconds.
-pub const DAEMON_QUIET_MS: u64 = 2_500;
+pub const DAEMON_SUSPECT_MS: u64 = 2_500;
 /// Silence after which a daemon is forgotten, in milliseconds.
 pub const DAEMON_FORGOTTEN_MS: u64 = 60_000;
 /// How long a target that is gone is remembered, in milliseconds: longer than
@@ -30,7 +30,7 @@
 pub const MAX_DAEMONS: usize = 4_096;
 /// A record and when its subject last spoke, by this process's clock.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Heard<T> {
+pub struct Observed<T> {
     /// What was said.
     pub record: T,
     /// When it was last said.
@@ -53,8 +53,8 @@
 /// All that one daemon knows of targets and daemons.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
-    pub(crate) daemons: BTreeMap<InstanceId, Heard<DaemonRecord>>,
-    pub(crate) targets: BTreeMap<TargetId, Heard<TargetRecord>>,
+    pub(crate) daemons: BTreeMap<InstanceId, Observed<DaemonRecord>>,
+    pub(crate) targets: BTreeMap<TargetId, Observed<TargetRecord>>,
     /// Number of the last change; each change gets the next one.
     pub(crate) position: u64,
     pub(crate) slots: Slots,
@@ -73,7 +73,7 @@
     }
 
     /// Takes what a target said `age_ms` ago.
-    pub fn hear_target(&mut self, now: Millis, record: TargetRecord, age_ms: u64) -> TargetChange {
+    pub fn merge_target(&mut self, now: Millis, record: TargetRecord, age_ms: u64) -> TargetChange {
         let at = Millis(now.0.saturating_sub(age_ms));
         let Some(known) = self.targets.get(&record.id) else {
             return self.add_target(at, record);
@@ -147,22 +147,22 @@
         }
         // An address has one life at a time: the one that was heard last.
         let others = self.targets.values_mut().filter(|other| {
-            other.record.address == record.address && other.record.life != TargetLife::Gone
+            other.record.address == record.address && other.record.life != TargetLifecycle::Gone
         });
         let mut life = record.life;
         for other in others {
             if other.at <= at {
-                other.record.life = TargetLife::Gone;
+                other.record.life = TargetLifecycle::Gone;
                 self.position += 1;
                 other.changes.note_record(self.position, at);
             } else {
-                life = TargetLife::Gone;
+                life = TargetLifecycle::Gone;
             }
         }
         let record = TargetRecord { life, ..record };
         self.position += 1;
         let changes = Changes::new(self.position, at);
-        let heard = Heard {
+        let heard = Observed {
             record,
             at,
             changes,
@@ -175,8 +175,8 @@
     pub fn target_gone(&mut self, now: Millis, id: &TargetId) -> bool {
         match self.targets.get_mut(id) {
             Some(known) => {
-                let news = known.record.life != TargetLife::Gone;
-                known.record.life = TargetLife::Gone;
+                let news = known.record.life != TargetLifecycle::Gone;
+                known.record.life = TargetLifecycle::Gone;
                 known.at = known.at.max(now);
                 if news {
                     self.position += 1;
@@ -195,32 +195,32 @@
         let Some(known) = self.targets.get_mut(id) else {
             return false;
         };
-        if !begins_same(&known.record, born_ms) || known.record.life != TargetLife::Ready {
+        if !begins_same(&known.record, born_ms) || known.record.life != TargetLifecycle::Ready {
             return false;
         }
-        known.record.life = TargetLife::Draining;
+        known.record.life = TargetLifecycle::Draining;
         self.position += 1;
         known.changes.note_record(self.position, now);
         true
     }
 
     /// The target that was heard last at `address`, if it is not gone.
-    pub fn target_at(&self, address: SocketAddr) -> Option<&Heard<TargetRecord>> {
-        let is_there = |heard: &&Heard<TargetRecord>| {
-            heard.record.address == address && heard.record.life != TargetLife::Gone
+    pub fn target_at(&self, address: SocketAddr) -> Option<&Observed<TargetRecord>> {
+        let is_there = |heard: &&Observed<TargetRecord>| {
+            heard.record.address == address && heard.record.life != TargetLifecycle::Gone
         };
         self.targets.values().find(is_there)
     }
 
     /// Takes what a daemon said `age_ms` ago; true if that is more than a
     /// sign of life.
-    pub fn hear_daemon(&mut self, now: Millis, record: DaemonRecord, age_ms: u64) -> bool {
+    pub fn merge_daemon(&mut self, now: Millis, record: DaemonRecord, age_ms: u64) -> bool {
         let at = Millis(now.0.saturating_sub(age_ms));
         let position = self.position + 1;
         let Some(known) = self.daemons.get_mut(&record.instance) else {
             if self.daemons.len() < MAX_DAEMONS {
                 self.position = position;
-                let heard = Heard {
+                let heard = Observed {
                     at,
                     changes: Changes {
                         slot: self.slots.take(),
@@ -270,7 +270,7 @@
         });
         self.targets.retain(|_, target| {
             let limit = match target.record.life {
-                TargetLife::Gone => GONE_REMEMBERED_MS,
+                TargetLifecycle::Gone => GONE_REMEMBERED_MS,
                 _ => TARGET_FORGOTTEN_MS,
             };
             now.since(target.at) < limit
@@ -279,12 +279,12 @@
     }
 
     /// All targets, also those that are gone.
-    pub fn targets(&self) -> impl Iterator<Item = &Heard<TargetRecord>> {
+    pub fn targets(&self) -> impl Iterator<Item = &Observed<TargetRecord>> {
         self.targets.values()
     }
 
     /// The target of that identity.
-    pub fn target(&self, id: &TargetId) -> Option<&Heard<TargetRecord>> {
+    pub fn target(&self, id: &TargetId) -> Option<&Observed<TargetRecord>> {
         self.targets.get(id)
     }
 
@@ -299,26 +299,26 @@
     }
 
     /// All daemons.
-    pub fn daemons(&self) -> impl Iterator<Item = &Heard<DaemonRecord>> {
+    pub fn daemons(&self) -> impl Iterator<Item = &Observed<DaemonRecord>> {
         self.daemons.values()
     }
 
     /// The daemon of that instance.
-    pub fn daemon(&self, instance: &InstanceId) -> Option<&Heard<DaemonRecord>> {
+    pub fn daemon(&self, instance: &InstanceId) -> Option<&Observed<DaemonRecord>> {
         self.daemons.get(instance)
     }
 
     /// The agent beside the engine at `address`.
-    pub fn agent_of(&self, address: SocketAddr) -> Option<&Heard<DaemonRecord>> {
+    pub fn agent_for_engine(&self, address: SocketAddr) -> Option<&Observed<DaemonRecord>> {
         self.daemons
             .values()
             .find(|daemon| daemon.record.engine == Some(address))
     }
 
     /// The agents by the addresses of their engines.
-    pub fn agents(&self) -> HashMap<SocketAddr, &Heard<DaemonRecord>> {
+    pub fn agents(&self) -> HashMap<SocketAddr, &Observed<DaemonRecord>> {
         let with_engine = |daemon| {
-            let daemon: &Heard<DaemonRecord> = daemon;
+            let daemon: &Observed<DaemonRecord> = daemon;
             daemon.record.engine.map(|engine| (engine, daemon))
         };
         self.daemons.values().filter_map(with_engine).collect()
@@ -326,10 +326,10 @@
 
     /// Entries that were heard lately and are not leaving.
     pub fn ready_entries(&self, now: Millis) -> impl Iterator<Item = &DaemonRecord> {
-        let ready = move |daemon: &&Heard<DaemonRecord>| {
+        let ready = move |daemon: &&Observed<DaemonRecord>| {
             daemon.record.role == DaemonRole::Entry
                 && daemon.record.state == DaemonState::Ready
-                && now.since(daemon.at) < DAEMON_QUIET_MS
+                && now.since(daemon.at) < DAEMON_SUSPECT_MS
         };
         self.daemons
             .values()
@@ -365,7 +365,7 @@
 
 /// Whether a target says that it is cold for longer than was known. That the
 /// time passes is no news.
-fn turned_cold(known: &Heard<TargetRecord>, next: &TargetRecord, at: Millis) -> bool {
+fn turned_cold(known: &Observed<TargetRecord>, next: &TargetRecord, at: Millis) -> bool {
     let known_until = known.at + known.record.cold_left_ms;
     next.cold_left_ms > 0 && at + next.cold_left_ms > known_until + COLD_NEWS_MS
 }
--- a/crates/moleroad_directory/src/lib.rs
+++ b/crates/moleroad_directory/src/lib.rs
@@ -12,7 +12,7 @@
 //!
 //! let mut directory = Directory::new();
 //! let record = TargetRecord::new(TargetId::new("i-1"), "chat", "127.0.0.1:80".parse().unwrap());
-//! assert_eq!(directory.hear_target(Millis(5), record, 0), TargetChange::Changed);
+//! assert_eq!(directory.merge_target(Millis(5), record, 0), TargetChange::Changed);
 //! assert_eq!(directory.targets().count(), 1);
 //! ```
 #![warn(missing_docs)]
@@ -30,12 +30,12 @@
 
 /// The types most users of the crate need.
 pub mod prelude {
-    pub use crate::changes::{Aged, Life, LoadNews};
+    pub use crate::changes::{Aged, LoadNews, RecordVersion};
     pub use crate::daemon::{DaemonRecord, DaemonRole, DaemonState, EngineReport, PieceMap};
-    pub use crate::directory::{Directory, Heard, TargetChange};
-    pub use crate::limit::{NamedLimit, RequestRate};
-    pub use crate::news::{Cursor, DaemonNews, Interest, News, Question, Scope, SlotLoad};
+    pub use crate::directory::{Directory, Observed, TargetChange};
+    pub use crate::limit::{AdvertisedLimit, RequestRate};
+    pub use crate::news::{Cursor, DaemonNews, DeltaRequest, Interest, News, Scope, SlotLoad};
     pub use crate::slots::{KnownSlots, Slot, SlotAges};
-    pub use crate::take::Taken;
-    pub use crate::target::{Holding, TargetId, TargetLife, TargetRecord};
+    pub use crate::take::DeltaOutcome;
+    pub use crate::target::{Holding, TargetId, TargetLifecycle, TargetRecord};
 }
--- a/crates/moleroad_directory/src/limit.rs
+++ b/crates/moleroad_directory/src/limit.rs
@@ -46,14 +46,14 @@
 
 /// What a target last said of the requests that it takes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NamedLimit {
+pub struct AdvertisedLimit {
     /// Rises with each change that an entry noticed.
     pub revision: u64,
     /// Requests a second from all entries; `None` while it names no limit.
     pub rate: Option<RequestRate>,
 }
 
-impl NamedLimit {
+impl AdvertisedLimit {
     /// The newer of two words; of two with one revision the stricter.
     pub fn newer(self, other: Self) -> Self {
         let is_newer = other.revision > self.revision;
@@ -101,7 +101,7 @@
         if !is_later && !is_stricter(rate, word.rate) {
             return false;
         }
-        known.record.limit = NamedLimit {
+        known.record.limit = AdvertisedLimit {
             revision: word.revision + 1,
             rate,
         };
--- a/crates/moleroad_directory/src/news.rs
+++ b/crates/moleroad_directory/src/news.rs
@@ -1,12 +1,12 @@
 //! What one daemon tells another of what changed in its directory.
 //!
 //! Whoever asked before names the number up to which it knows all ([`Cursor`]) and
-//! gets what changed since: [`Directory::news`]. [`Directory::take_news`] is the
+//! gets what changed since: [`Directory::news`]. [`Directory::apply_delta`] is the
 //! caller's side.
 
 use crate::changes::{Aged, LoadNews};
 use crate::daemon::{DaemonRecord, DaemonRole};
-use crate::directory::{Directory, Heard};
+use crate::directory::{Directory, Observed};
 use crate::slots::{Slot, SlotAges};
 use crate::target::TargetRecord;
 use moleroad_types::prelude::{InstanceId, Millis};
@@ -45,7 +45,7 @@
 
 /// A question for news.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Question {
+pub struct DeltaRequest {
     /// Of whom.
     pub scope: Scope,
     /// What is known already.
@@ -131,7 +131,7 @@
         incarnation: u64,
         own_hall: &str,
         caller: &InstanceId,
-        question: Question,
+        question: DeltaRequest,
     ) -> News {
         if question.scope == Scope::Nothing {
             return News {
@@ -145,7 +145,7 @@
         if question.relays_suffice && self.daemons.len() + self.targets.len() > MAX_RECORDS {
             return self.news_of_relays(now, incarnation, caller);
         }
-        let is_wanted = |heard: &&Heard<DaemonRecord>| {
+        let is_wanted = |heard: &&Observed<DaemonRecord>| {
             let is_in_scope = question.scope == Scope::All
                 || heard.record.hall == own_hall
                 || heard.is_first_hand(now);
@@ -191,13 +191,13 @@
     /// Whether an asker is told of a target.
     fn matters(
         &self,
-        target: &Heard<TargetRecord>,
+        target: &Observed<TargetRecord>,
         caller: &InstanceId,
-        question: Question,
+        question: DeltaRequest,
     ) -> bool {
         let caller = self.daemons.get(caller);
         let is_engine =
-            |caller: &Heard<DaemonRecord>| caller.record.engine == Some(target.record.address);
+            |caller: &Observed<DaemonRecord>| caller.record.engine == Some(target.record.address);
         question.wants_requests() || caller.is_none_or(is_engine)
     }
 
@@ -219,7 +219,7 @@
     }
 }
 
-impl Question {
+impl DeltaRequest {
     fn wants_requests(&self) -> bool {
         self.interest == Interest::Requests
     }
@@ -236,7 +236,7 @@
 }
 
 impl DaemonNews {
-    fn of(now: Millis, heard: &Heard<DaemonRecord>) -> Self {
+    fn of(now: Millis, heard: &Observed<DaemonRecord>) -> Self {
         Self {
             slot: heard.changes.slot,
             aged: heard.aged(now),
@@ -250,7 +250,13 @@
         !self.has_more && self.cursor.position > 0
     }
 
-    fn add(&mut self, now: Millis, heard: &Heard<DaemonRecord>, span: Span, question: Question) {
+    fn add(
+        &mut self,
+        now: Millis,
+        heard: &Observed<DaemonRecord>,
+        span: Span,
+        question: DeltaRequest,
+    ) {
         let (record, changes) = (&heard.record, heard.changes);
         if span.has(changes.record) || (question.pieces && span.has(changes.pieces)) {
             let mut news = DaemonNews::of(now, heard);
--- a/crates/moleroad_directory/src/relays.rs
+++ b/crates/moleroad_directory/src/relays.rs
@@ -8,7 +8,7 @@
 //! knows a little less.
 
 use crate::daemon::{DaemonRecord, DaemonRole, DaemonState};
-use crate::directory::{DAEMON_QUIET_MS, Directory, Heard};
+use crate::directory::{DAEMON_SUSPECT_MS, Directory, Observed};
 use moleroad_types::prelude::{InstanceId, Millis};
 use std::collections::BTreeSet;
 use std::collections::hash_map::DefaultHasher;
@@ -16,7 +16,7 @@
 
 /// Fewest relays of a data hall: one may be lost and another one be restarted at
 /// the same time.
-pub const FEWEST_RELAYS: usize = 3;
+pub const MIN_RELAYS: usize = 3;
 /// Daemons of a data hall for each of its relays, so that what a relay answers
 /// does not grow with its hall.
 pub const DAEMONS_PER_RELAY: usize = 32;
@@ -36,12 +36,12 @@
         let in_hall = self.daemons().filter(|heard| heard.record.hall == hall);
         let count = in_hall.count().div_ceil(DAEMONS_PER_RELAY);
         let mut entries = self.entries_of(hall);
-        let is_sound = |heard: &&Heard<DaemonRecord>| {
-            heard.record.state != DaemonState::Leaving && now.since(heard.at) < DAEMON_QUIET_MS
+        let is_sound = |heard: &&Observed<DaemonRecord>| {
+            heard.record.state != DaemonState::Leaving && now.since(heard.at) < DAEMON_SUSPECT_MS
         };
         entries.retain(is_sound);
         let records = entries.into_iter().map(|heard| &heard.record);
-        ranked(records.collect(), hall, count.max(FEWEST_RELAYS))
+        ranked(records.collect(), hall, count.max(MIN_RELAYS))
     }
 
     /// How long ago a daemon of a data hall spoke, the one heard last, in
@@ -76,8 +76,8 @@
         entries.map(|heard| heard.record.hall.as_str()).collect()
     }
 
-    fn entries_of(&self, hall: &str) -> Vec<&Heard<DaemonRecord>> {
-        let is_there = |heard: &&Heard<DaemonRecord>| {
+    fn entries_of(&self, hall: &str) -> Vec<&Observed<DaemonRecord>> {
+        let is_there = |heard: &&Observed<DaemonRecord>| {
             heard.record.role == DaemonRole::Entry && heard.record.hall == hall
         };
         self.daemons().filter(is_there).collect()
--- a/crates/moleroad_directory/src/slots.rs
+++ b/crates/moleroad_directory/src/slots.rs
@@ -5,9 +5,9 @@
 //! a daemon. A number is told with its daemon's whole record first; it is given
 //! to another daemon only when that one is forgotten here.
 
-use crate::changes::Life;
+use crate::changes::RecordVersion;
 use crate::daemon::DaemonRecord;
-use crate::directory::Heard;
+use crate::directory::Observed;
 use moleroad_types::prelude::Millis;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
@@ -56,7 +56,7 @@
     /// Of these daemons of one directory.
     pub(crate) fn of<'a>(
         now: Millis,
-        daemons: impl Iterator<Item = &'a Heard<DaemonRecord>>,
+        daemons: impl Iterator<Item = &'a Observed<DaemonRecord>>,
     ) -> Self {
         let mut ages = Vec::new();
         for heard in daemons {
@@ -83,7 +83,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct KnownSlots {
     incarnation: u64,
-    lives: Vec<Option<Life>>,
+    lives: Vec<Option<RecordVersion>>,
 }
 
 impl KnownSlots {
@@ -96,7 +96,7 @@
     }
 
     /// Takes that a number stands for a daemon.
-    pub fn learn(&mut self, slot: Slot, life: Life) {
+    pub fn learn(&mut self, slot: Slot, life: RecordVersion) {
         let at = slot.0 as usize;
         // A callee's numbers are below the most daemons that a directory keeps.
         if at >= crate::directory::MAX_DAEMONS {
@@ -109,7 +109,7 @@
     }
 
     /// The daemon that a number stands for.
-    pub fn life(&self, slot: Slot) -> Option<&Life> {
+    pub fn life(&self, slot: Slot) -> Option<&RecordVersion> {
         self.lives.get(slot.0 as usize)?.as_ref()
     }
 }
--- a/crates/moleroad_directory/src/take.rs
+++ b/crates/moleroad_directory/src/take.rs
@@ -1,6 +1,6 @@
 //! Taking what another daemon's answer tells.
 
-use crate::changes::{Aged, Life, LoadNews};
+use crate::changes::{Aged, LoadNews, RecordVersion};
 use crate::daemon::DaemonRecord;
 use crate::directory::{Directory, TargetChange};
 use crate::news::News;
@@ -9,7 +9,7 @@
 
 /// What taking news came to.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Taken {
+pub struct DeltaOutcome {
     /// Whether who may get requests may have changed.
     pub changed: bool,
     /// Whether all daemons spoken of are known here.
@@ -21,20 +21,20 @@
 impl Directory {
     /// Takes news that are not of the daemon `own`, from an answer of the daemon
     /// whose numbers are `known`.
-    pub fn take_news(
+    pub fn apply_delta(
         &mut self,
         now: Millis,
         own: &InstanceId,
         news: News,
         known: &mut KnownSlots,
-    ) -> Taken {
+    ) -> DeltaOutcome {
         known.begin(news.cursor.incarnation);
-        let mut taken = Taken {
+        let mut taken = DeltaOutcome {
             is_complete: true,
-            ..Taken::default()
+            ..DeltaOutcome::default()
         };
         for daemon in news.daemons {
-            known.learn(daemon.slot, Life::of(&daemon.aged.record));
+            known.learn(daemon.slot, RecordVersion::of(&daemon.aged.record));
             self.take_record(now, own, daemon.aged, &mut taken);
         }
         for told in news.loads {
@@ -42,7 +42,7 @@
                 taken.is_complete = false;
                 continue;
             };
-            let life = Life {
+            let life = RecordVersion {
                 sequence: told.sequence,
                 ..life.clone()
             };
@@ -53,7 +53,7 @@
             taken.is_complete &= life.is_some_and(|life| self.hear_life(now, life, age_ms));
         }
         for aged in news.targets {
-            let change = self.hear_target(now, aged.record, aged.age_ms);
+            let change = self.merge_target(now, aged.record, aged.age_ms);
             taken.changed |= change == TargetChange::Changed;
         }
         taken
@@ -64,10 +64,10 @@
         now: Millis,
         own: &InstanceId,
         aged: Aged<DaemonRecord>,
-        taken: &mut Taken,
+        taken: &mut DeltaOutcome,
     ) {
         let instance = aged.record.instance.clone();
-        if instance != *own && self.hear_daemon(now, aged.record, aged.age_ms) {
+        if instance != *own && self.merge_daemon(now, aged.record, aged.age_ms) {
             taken.changed = true;
             taken.loads.push(instance);
         }
@@ -77,10 +77,10 @@
         &mut self,
         now: Millis,
         own: &InstanceId,
-        life: Life,
+        life: RecordVersion,
         load: LoadNews,
         age_ms: u64,
-        taken: &mut Taken,
+        taken: &mut DeltaOutcome,
     ) {
         taken.is_complete &= self.hear_life(now, &life, age_ms);
         if life.instance != *own && self.hear_load(now, &life, load, age_ms) {
--- a/crates/moleroad_directory/src/target.rs
+++ b/crates/moleroad_directory/src/target.rs
@@ -1,6 +1,6 @@
 //! What a target says of itself.
 
-use crate::limit::NamedLimit;
+use crate::limit::AdvertisedLimit;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::net::SocketAddr;
@@ -32,7 +32,7 @@
 
 /// How far a target is in its life; it only goes forward.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum TargetLife {
+pub enum TargetLifecycle {
     /// Takes requests.
     #[default]
     Ready,
@@ -69,7 +69,7 @@
     /// Requests it works on at once.
     pub slots: u32,
     /// How far it is in its life.
-    pub life: TargetLife,
+    pub life: TargetLifecycle,
     /// Rises with each call of the target; orders late calls.
     pub sequence: u64,
     /// How much longer it is slow from its start, in milliseconds.
@@ -83,7 +83,7 @@
     /// What it says in its answers of the requests that it takes; its own calls do
     /// not tell.
     #[serde(default)]
-    pub limit: NamedLimit,
+    pub limit: AdvertisedLimit,
 }
 
 impl TargetRecord {
@@ -95,18 +95,18 @@
             address,
             hall: String::new(),
             slots: 1,
-            life: TargetLife::Ready,
+            life: TargetLifecycle::Ready,
             sequence: 0,
             cold_left_ms: 0,
             holdings: None,
             born_ms: 0,
-            limit: NamedLimit::default(),
+            limit: AdvertisedLimit::default(),
         }
     }
 }
 
 /// The version at which `holdings` cover all `layers` of `model`.
-pub fn whole_version(holdings: &[Holding], model: &str, layers: u32) -> Option<u64> {
+pub fn complete_version(holdings: &[Holding], model: &str, layers: u32) -> Option<u64> {
     let of_model = || holdings.iter().filter(|holding| holding.model == model);
     let version = of_model().next()?.version;
     let mut reached = 0;
--- a/crates/moleroad_directory/tests/directory.rs
+++ b/crates/moleroad_directory/tests/directory.rs
@@ -1,7 +1,7 @@
 //! Merging what targets and daemons say.
 
 use moleroad_directory::prelude::*;
-use moleroad_directory::target::whole_version;
+use moleroad_directory::target::complete_version;
 use moleroad_types::prelude::*;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
     }
 }
 
-fn life_of(directory: &Directory, id: &str) -> Option<TargetLife> {
+fn life_of(directory: &Directory, id: &str) -> Option<TargetLifecycle> {
     let heard = directory.target(&TargetId::new(id))?;
     Some(heard.record.life)
 }
@@ -31,48 +31,48 @@
 #[test]
 fn a_late_heartbeat_does_not_bring_a_leaving_target_back() {
     let mut directory = Directory::new();
-    directory.hear_target(Millis(0), target("a", 1, 1), 0);
+    directory.merge_target(Millis(0), target("a", 1, 1), 0);
     let mut leaving = target("a", 1, 5);
-    leaving.life = TargetLife::Draining;
+    leaving.life = TargetLifecycle::Draining;
     assert_eq!(
-        directory.hear_target(Millis(10), leaving, 0),
+        directory.merge_target(Millis(10), leaving, 0),
         TargetChange::Changed
     );
     assert_eq!(
-        directory.hear_target(Millis(20), target("a", 1, 4), 0),
+        directory.merge_target(Millis(20), target("a", 1, 4), 0),
         TargetChange::Stale
     );
-    directory.hear_target(Millis(30), target("a", 1, 6), 0);
-    assert_eq!(life_of(&directory, "a"), Some(TargetLife::Draining));
+    directory.merge_target(Millis(30), target("a", 1, 6), 0);
+    assert_eq!(life_of(&directory, "a"), Some(TargetLifecycle::Draining));
 }
 
 #[test]
 fn a_new_life_at_an_address_ends_the_old_one() {
     let mut directory = Directory::new();
-    directory.hear_target(Millis(0), target("old", 1, 9), 0);
-    directory.hear_target(Millis(100), target("new", 1, 1), 0);
-    assert_eq!(life_of(&directory, "old"), Some(TargetLife::Gone));
-    assert_eq!(life_of(&directory, "new"), Some(TargetLife::Ready));
+    directory.merge_target(Millis(0), target("old", 1, 9), 0);
+    directory.merge_target(Millis(100), target("new", 1, 1), 0);
+    assert_eq!(life_of(&directory, "old"), Some(TargetLifecycle::Gone));
+    assert_eq!(life_of(&directory, "new"), Some(TargetLifecycle::Ready));
     // News of the old life that arrives by way of another daemon changes nothing.
-    directory.hear_target(Millis(120), target("old", 1, 10), 90);
-    assert_eq!(life_of(&directory, "old"), Some(TargetLife::Gone));
+    directory.merge_target(Millis(120), target("old", 1, 10), 90);
+    assert_eq!(life_of(&directory, "old"), Some(TargetLifecycle::Gone));
 }
 
 #[test]
 fn a_target_stays_gone() {
     let mut directory = Directory::new();
-    directory.hear_target(Millis(0), target("a", 1, 1), 0);
+    directory.merge_target(Millis(0), target("a", 1, 1), 0);
     assert!(directory.target_gone(Millis(5), &TargetId::new("a")));
     assert!(!directory.target_gone(Millis(6), &TargetId::new("a")));
-    directory.hear_target(Millis(7), target("a", 1, 2), 0);
-    assert_eq!(life_of(&directory, "a"), Some(TargetLife::Gone));
+    directory.merge_target(Millis(7), target("a", 1, 2), 0);
+    assert_eq!(life_of(&directory, "a"), Some(TargetLifecycle::Gone));
 }
 
 #[test]
 fn the_same_words_again_are_a_renewal() {
     let mut directory = Directory::new();
-    directory.hear_target(Millis(0), target("a", 1, 1), 0);
-    let change = directory.hear_target(Millis(1_000), target("a", 1, 2), 0);
+    directory.merge_target(Millis(0), target("a", 1, 1), 0);
+    let change = directory.merge_target(Millis(1_000), target("a", 1, 2), 0);
     assert_eq!(change, TargetChange::Renewed);
 }
 
@@ -84,7 +84,7 @@
         ("a2", "h1", "r1", 2),
         ("b1", "h2", "r2", 3),
     ] {
-        directory.hear_daemon(Millis(0), entry(name, hall, region, port), 0);
+        directory.merge_daemon(Millis(0), entry(name, hall, region, port), 0);
     }
     assert_eq!(
         directory
@@ -102,7 +102,7 @@
     leaving.state = DaemonState::Leaving;
     leaving.sequence = 2;
     let position = directory.position();
-    assert!(directory.hear_daemon(Millis(2), leaving, 0));
+    assert!(directory.merge_daemon(Millis(2), leaving, 0));
     assert_ne!(position, directory.position());
     assert_eq!(
         directory
@@ -122,9 +122,9 @@
     let mut directory = Directory::new();
     let mut restarted = entry("a", "h", "r", 1);
     restarted.incarnation = 2;
-    directory.hear_daemon(Millis(1_000), restarted.clone(), 0);
+    directory.merge_daemon(Millis(1_000), restarted.clone(), 0);
     // The earlier life, as another daemon remembers it.
-    assert!(!directory.hear_daemon(Millis(1_001), entry("a", "h", "r", 1), 700));
+    assert!(!directory.merge_daemon(Millis(1_001), entry("a", "h", "r", 1), 700));
     let known = directory.daemon(&InstanceId::new("a")).unwrap();
     assert_eq!(known.record, restarted);
 }
@@ -137,21 +137,21 @@
         to,
         version,
     };
-    assert_eq!(whole_version(&[holding(0, 16, 2)], "m", 16), Some(2));
+    assert_eq!(complete_version(&[holding(0, 16, 2)], "m", 16), Some(2));
     assert_eq!(
-        whole_version(&[holding(8, 16, 2), holding(0, 8, 2)], "m", 16),
+        complete_version(&[holding(8, 16, 2), holding(0, 8, 2)], "m", 16),
         Some(2)
     );
     assert_eq!(
-        whole_version(&[holding(0, 8, 2), holding(8, 16, 1)], "m", 16),
+        complete_version(&[holding(0, 8, 2), holding(8, 16, 1)], "m", 16),
         None
     );
     assert_eq!(
-        whole_version(&[holding(0, 8, 2), holding(9, 16, 2)], "m", 16),
+        complete_version(&[holding(0, 8, 2), holding(9, 16, 2)], "m", 16),
         None
     );
-    assert_eq!(whole_version(&[holding(0, 15, 2)], "m", 16), None);
-    assert_eq!(whole_version(&[], "m", 16), None);
+    assert_eq!(complete_version(&[holding(0, 15, 2)], "m", 16), None);
+    assert_eq!(complete_version(&[], "m", 16), None);
 }
 
 #[test]
@@ -174,7 +174,7 @@
         ..target("a", 1, sequence)
     };
     let hear =
-        |directory: &mut Directory, at: u64, record| directory.hear_target(Millis(at), record, 0);
+        |directory: &mut Directory, at: u64, record| directory.merge_target(Millis(at), record, 0);
     hear(&mut directory, 0, told(1, 0));
     let before = directory.position();
     assert_eq!(
@@ -207,7 +207,7 @@
             let (hall, name) = (format!("h{region}"), format!("r{region}"));
             let port = region * 10 + number;
             let record = entry(&format!("{hall}-{number}"), &hall, &name, port);
-            directory.hear_daemon(Millis(0), record, 0);
+            directory.merge_daemon(Millis(0), record, 0);
         }
     }
     directory
@@ -243,7 +243,7 @@
 #[test]
 fn one_entry_of_an_allowed_region_is_enough() {
     let mut directory = entries_in_four_regions(&[1, 2]);
-    directory.hear_daemon(Millis(0), entry("only", "h2", "r2", 20), 0);
+    directory.merge_daemon(Millis(0), entry("only", "h2", "r2", 20), 0);
     assert_eq!(named_regions(&directory, &["r2"]), [2]);
 }
 
@@ -261,7 +261,7 @@
             frontend: (number < entries).then(|| ([127, 0, 0, 1], 5_000 + number).into()),
             ..entry(&name, "h1", "r1", number + 1)
         };
-        directory.hear_daemon(Millis(0), record, 0);
+        directory.merge_daemon(Millis(0), record, 0);
     }
     directory
 }
@@ -316,12 +316,12 @@
 fn a_later_birth_begins_a_life_that_knows_nothing_of_the_former() {
     let mut directory = Directory::new();
     let former = TargetRecord {
-        life: TargetLife::Draining,
+        life: TargetLifecycle::Draining,
         holdings: Some(Vec::new()),
         ..born(1_000, 40)
     };
-    directory.hear_target(Millis(100), former, 0);
-    let change = directory.hear_target(Millis(200), born(2_000, 1), 0);
+    directory.merge_target(Millis(100), former, 0);
+    let change = directory.merge_target(Millis(200), born(2_000, 1), 0);
     assert_eq!(change, TargetChange::Changed);
     let heard = directory.target(&TargetId::new("t-1")).unwrap();
     assert_eq!(heard.record, born(2_000, 1));
@@ -330,26 +330,26 @@
 #[test]
 fn late_news_of_a_former_life_changes_nothing() {
     let mut directory = Directory::new();
-    directory.hear_target(Millis(100), born(2_000, 1), 0);
+    directory.merge_target(Millis(100), born(2_000, 1), 0);
     let position = directory.position();
     let late = TargetRecord {
-        life: TargetLife::Draining,
+        life: TargetLifecycle::Draining,
         ..born(1_000, 40)
     };
     assert_eq!(
-        directory.hear_target(Millis(200), late, 0),
+        directory.merge_target(Millis(200), late, 0),
         TargetChange::Stale
     );
-    assert_eq!(life_of(&directory, "t-1"), Some(TargetLife::Ready));
+    assert_eq!(life_of(&directory, "t-1"), Some(TargetLifecycle::Ready));
     assert_eq!(directory.position(), position);
 }
 
 #[test]
 fn a_target_that_does_not_tell_its_birth_is_in_the_life_that_is_known() {
     let mut directory = Directory::new();
-    directory.hear_target(Millis(100), born(2_000, 5), 0);
+    directory.merge_target(Millis(100), born(2_000, 5), 0);
     assert_eq!(
-        directory.hear_target(Millis(200), born(0, 4), 0),
+        directory.merge_target(Millis(200), born(0, 4), 0),
         TargetChange::Stale
     );
     let heard = directory.target(&TargetId::new("t-1")).unwrap();
@@ -359,9 +359,9 @@
 #[test]
 fn a_word_without_a_birth_does_not_make_the_birth_forgotten() {
     let mut directory = Directory::new();
-    directory.hear_target(Millis(100), born(2_000, 5), 0);
-    directory.hear_target(Millis(200), born(0, 6), 0);
-    directory.hear_target(Millis(300), born(3_000, 1), 0);
+    directory.merge_target(Millis(100), born(2_000, 5), 0);
+    directory.merge_target(Millis(200), born(0, 6), 0);
+    directory.merge_target(Millis(300), born(3_000, 1), 0);
     let heard = directory.target(&TargetId::new("t-1")).unwrap();
     assert_eq!(heard.record, born(3_000, 1), "another life began");
 }
@@ -369,31 +369,31 @@
 #[test]
 fn a_target_that_said_in_an_answer_that_it_leaves_is_never_ready_again() {
     let mut directory = Directory::new();
-    directory.hear_target(Millis(100), born(2_000, 5), 0);
+    directory.merge_target(Millis(100), born(2_000, 5), 0);
     let id = TargetId::new("t-1");
     let position = directory.position();
     assert!(directory.target_leaves(Millis(200), &id, 2_000));
     assert!(directory.position() > position, "others are told");
     assert!(!directory.target_leaves(Millis(210), &id, 2_000), "no news");
-    directory.hear_target(Millis(300), born(2_000, 6), 0);
-    directory.hear_target(Millis(400), born(0, 7), 0);
-    assert_eq!(life_of(&directory, "t-1"), Some(TargetLife::Draining));
+    directory.merge_target(Millis(300), born(2_000, 6), 0);
+    directory.merge_target(Millis(400), born(0, 7), 0);
+    assert_eq!(life_of(&directory, "t-1"), Some(TargetLifecycle::Draining));
     // Its next life is ready.
-    directory.hear_target(Millis(500), born(3_000, 1), 0);
-    assert_eq!(life_of(&directory, "t-1"), Some(TargetLife::Ready));
+    directory.merge_target(Millis(500), born(3_000, 1), 0);
+    assert_eq!(life_of(&directory, "t-1"), Some(TargetLifecycle::Ready));
 }
 
 #[test]
 fn a_late_answer_of_a_former_life_says_nothing_of_the_present_one() {
     let mut directory = Directory::new();
-    directory.hear_target(Millis(100), born(2_000, 5), 0);
+    directory.merge_target(Millis(100), born(2_000, 5), 0);
     let id = TargetId::new("t-1");
     assert!(!directory.target_leaves(Millis(200), &id, 1_000));
     assert!(!directory.target_leaves(Millis(200), &TargetId::new("unknown"), 0));
-    assert_eq!(life_of(&directory, "t-1"), Some(TargetLife::Ready));
+    assert_eq!(life_of(&directory, "t-1"), Some(TargetLifecycle::Ready));
     directory.target_gone(Millis(300), &id);
     assert!(!directory.target_leaves(Millis(400), &id, 2_000));
-    assert_eq!(life_of(&directory, "t-1"), Some(TargetLife::Gone));
+    assert_eq!(life_of(&directory, "t-1"), Some(TargetLifecycle::Gone));
 }
 
 #[test]
@@ -401,12 +401,12 @@
     let mut told = Directory::new();
     let mut teller = Directory::new();
     for directory in [&mut told, &mut teller] {
-        directory.hear_target(Millis(100), born(2_000, 5), 0);
+        directory.merge_target(Millis(100), born(2_000, 5), 0);
     }
     let id = TargetId::new("t-1");
     teller.target_leaves(Millis(200), &id, 2_000);
     let news = teller.target(&id).unwrap().aged(Millis(250));
-    let change = told.hear_target(Millis(1_000), news.record, news.age_ms);
+    let change = told.merge_target(Millis(1_000), news.record, news.age_ms);
     assert_eq!(change, TargetChange::Changed);
-    assert_eq!(life_of(&told, "t-1"), Some(TargetLife::Draining));
+    assert_eq!(life_of(&told, "t-1"), Some(TargetLifecycle::Draining));
 }
--- a/crates/moleroad_directory/tests/limits.rs
+++ b/crates/moleroad_directory/tests/limits.rs
@@ -18,7 +18,7 @@
 /// A directory that has heard of the target.
 fn knows_it() -> Directory {
     let mut directory = Directory::new();
-    directory.hear_target(Millis(10), record(1, 1_000), 0);
+    directory.merge_target(Millis(10), record(1, 1_000), 0);
     directory
 }
 
@@ -26,7 +26,7 @@
     Some(RequestRate::per_s(per_s))
 }
 
-fn limit(directory: &Directory) -> NamedLimit {
+fn limit(directory: &Directory) -> AdvertisedLimit {
     directory.target(&id()).unwrap().record.limit
 }
 
@@ -72,10 +72,10 @@
     let mut directory = knows_it();
     name(&mut directory, 100, 90, rate(2.0));
     for sequence in [2, 1] {
-        directory.hear_target(Millis(200), record(sequence, 1_000), 0);
+        directory.merge_target(Millis(200), record(sequence, 1_000), 0);
         assert_eq!(limit(&directory).rate, rate(2.0));
     }
-    directory.hear_target(Millis(300), record(3, 0), 0);
+    directory.merge_target(Millis(300), record(3, 0), 0);
     assert_eq!(limit(&directory).rate, rate(2.0));
 }
 
@@ -84,18 +84,18 @@
     let mut directory = knows_it();
     name(&mut directory, 100, 90, rate(2.0));
     let former = directory.target(&id()).unwrap().record.clone();
-    directory.hear_target(Millis(200), record(1, 2_000), 0);
-    assert_eq!(limit(&directory), NamedLimit::default());
+    directory.merge_target(Millis(200), record(1, 2_000), 0);
+    assert_eq!(limit(&directory), AdvertisedLimit::default());
     // Said by the former life, heard of later.
     assert!(!name(&mut directory, 210, 205, rate(1.0)));
-    directory.hear_target(Millis(220), former, 0);
-    assert_eq!(limit(&directory), NamedLimit::default());
+    directory.merge_target(Millis(220), former, 0);
+    assert_eq!(limit(&directory), AdvertisedLimit::default());
 }
 
 #[test]
 fn all_directories_come_to_one_limit_in_any_order_of_news() {
     let word = |revision, per_s: Option<f64>| TargetRecord {
-        limit: NamedLimit {
+        limit: AdvertisedLimit {
             revision,
             rate: per_s.map(RequestRate::per_s),
         },
@@ -111,7 +111,7 @@
         let mut directory = knows_it();
         for at in 0..words.len() {
             let heard = words[(first + at) % words.len()].clone();
-            directory.hear_target(Millis(100 + at as u64), heard, 0);
+            directory.merge_target(Millis(100 + at as u64), heard, 0);
         }
         let known = limit(&directory);
         assert_eq!((known.revision, known.rate), (2, rate(1.5)), "{first}");
@@ -126,10 +126,10 @@
     assert!(directory.position() > before);
     let told = directory.target(&id()).unwrap().record.clone();
     let mut other = knows_it();
-    let change = other.hear_target(Millis(500), told.clone(), 0);
+    let change = other.merge_target(Millis(500), told.clone(), 0);
     assert_eq!(change, TargetChange::Changed);
     assert_eq!(
-        other.hear_target(Millis(600), told, 0),
+        other.merge_target(Millis(600), told, 0),
         TargetChange::Renewed
     );
     assert_eq!(limit(&other).rate, rate(2.0));
--- a/crates/moleroad_directory/tests/news.rs
+++ b/crates/moleroad_directory/tests/news.rs
@@ -49,8 +49,8 @@
         }
     }
 
-    fn ask(&mut self, now: u64, callee: &Directory, question: Question) -> News {
-        let question = Question {
+    fn ask(&mut self, now: u64, callee: &Directory, question: DeltaRequest) -> News {
+        let question = DeltaRequest {
             after: self.cursor,
             ..question
         };
@@ -59,15 +59,15 @@
         news
     }
 
-    fn hear(&mut self, now: u64, callee: &Directory, question: Question) -> Taken {
+    fn hear(&mut self, now: u64, callee: &Directory, question: DeltaRequest) -> DeltaOutcome {
         let news = self.ask(now, callee, question);
         self.take(now, news)
     }
 
-    fn take(&mut self, now: u64, news: News) -> Taken {
+    fn take(&mut self, now: u64, news: News) -> DeltaOutcome {
         let name = self.name.clone();
         self.directory
-            .take_news(Millis(now), &name, news, &mut self.known)
+            .apply_delta(Millis(now), &name, news, &mut self.known)
     }
 
     fn heard_at(&self, instance: &str) -> Option<u64> {
@@ -76,16 +76,16 @@
     }
 }
 
-fn all(lives: bool) -> Question {
-    Question {
+fn all(lives: bool) -> DeltaRequest {
+    DeltaRequest {
         scope: Scope::All,
         lives,
-        ..Question::default()
+        ..DeltaRequest::default()
     }
 }
 
-fn of_hall(lives: bool) -> Question {
-    Question {
+fn of_hall(lives: bool) -> DeltaRequest {
+    DeltaRequest {
         scope: Scope::CalleesHall,
         ..all(lives)
     }
@@ -94,10 +94,10 @@
 fn many(daemons: u16, targets: u16) -> Directory {
     let mut directory = Directory::new();
     for number in 0..daemons {
-        directory.hear_daemon(Millis(0), daemon(number, HALL), 0);
+        directory.merge_daemon(Millis(0), daemon(number, HALL), 0);
     }
     for number in 0..targets {
-        directory.hear_target(Millis(0), target(number), 0);
+        directory.merge_target(Millis(0), target(number), 0);
     }
     directory
 }
@@ -119,7 +119,7 @@
             state: DaemonState::Leaving,
             ..daemon(answers as u16, HALL)
         };
-        callee.hear_daemon(Millis(1), changed, 0);
+        callee.merge_daemon(Millis(1), changed, 0);
         let is_last = !news.has_more;
         assert!(asker.take(1, news).is_complete);
         if is_last {
@@ -145,7 +145,7 @@
         let mut busy = daemon(number, HALL);
         busy.sequence = 2;
         busy.report.as_mut().unwrap().running = 3;
-        callee.hear_daemon(Millis(1), busy, 0);
+        callee.merge_daemon(Millis(1), busy, 0);
     }
     let taken = asker.hear(2, &callee, all(false));
     assert!(taken.is_complete);
@@ -158,7 +158,7 @@
 
 #[test]
 fn a_daemon_that_begins_hears_whom_to_ask_where_the_rest_is_too_much() {
-    let first = Question {
+    let first = DeltaRequest {
         relays_suffice: true,
         ..all(true)
     };
@@ -172,7 +172,7 @@
             role: DaemonRole::Entry,
             ..daemon(number, HALL)
         };
-        large.hear_daemon(Millis(0), entry, 0);
+        large.merge_daemon(Millis(0), entry, 0);
     }
     let mut asker = Asker::new("asker");
     let news = asker.ask(1, &large, first);
@@ -197,7 +197,7 @@
     let mut asker = Asker::new("asker");
     asker.hear(0, &callee, all(false));
     let before = asker.heard_at("h1-9");
-    callee.hear_life(Millis(1_020), &Life::of(&daemon(9, HALL)), 0);
+    callee.hear_life(Millis(1_020), &RecordVersion::of(&daemon(9, HALL)), 0);
     let news = asker.ask(1_037, &callee, all(true));
     let bytes = rmp_serde::to_vec(&news).unwrap().len();
     assert!(bytes < 180 + 40, "{bytes} bytes");
@@ -214,9 +214,9 @@
     let mut callee = many(2, 0);
     let mut asker = Asker::new("asker");
     asker.hear(0, &callee, all(true));
-    callee.hear_life(Millis(59_000), &Life::of(&daemon(0, HALL)), 0);
+    callee.hear_life(Millis(59_000), &RecordVersion::of(&daemon(0, HALL)), 0);
     callee.expire(Millis(61_000));
-    callee.hear_daemon(Millis(61_000), daemon(77, HALL), 0);
+    callee.merge_daemon(Millis(61_000), daemon(77, HALL), 0);
     assert!(asker.hear(61_000, &callee, all(true)).is_complete);
     assert_eq!(asker.heard_at("h1-1"), Some(0), "it is silent");
     assert_eq!(asker.heard_at("h1-77"), Some(61_000));
@@ -230,7 +230,7 @@
         incarnation: INCARNATION,
         position: callee.position(),
     };
-    callee.hear_life(Millis(10), &Life::of(&daemon(0, HALL)), 0);
+    callee.hear_life(Millis(10), &RecordVersion::of(&daemon(0, HALL)), 0);
     assert!(!asker.hear(10, &callee, all(true)).is_complete);
 }
 
@@ -240,7 +240,7 @@
     let mut asker = Asker::new("asker");
     asker.hear(0, &callee, all(true));
     asker.cursor.incarnation = INCARNATION + 1;
-    let question = Question {
+    let question = DeltaRequest {
         after: Cursor {
             incarnation: INCARNATION + 1,
             position: callee.position(),
@@ -256,12 +256,12 @@
 fn a_daemon_that_calls_again_after_a_while_is_told_to_other_halls_anew() {
     let mut callee = many(3, 0);
     let guest = daemon(50, "h2");
-    callee.hear_daemon(Millis(0), guest.clone(), 0);
+    callee.merge_daemon(Millis(0), guest.clone(), 0);
     let mut asker = Asker::new("asker");
     asker.hear(0, &callee, of_hall(true));
     assert_eq!(asker.heard_at("h2-50"), None, "it called nobody here");
-    callee.hear_life(Millis(10_000), &Life::of(&guest), 0);
-    callee.note_first_hand(Millis(10_000), &guest.instance);
+    callee.hear_life(Millis(10_000), &RecordVersion::of(&guest), 0);
+    callee.record_direct_contact(Millis(10_000), &guest.instance);
     let taken = asker.hear(10_100, &callee, of_hall(true));
     assert!(taken.is_complete);
     assert_eq!(asker.heard_at("h2-50"), Some(10_000));
@@ -269,7 +269,7 @@
 
 #[test]
 fn who_brings_weights_hears_of_its_own_engine_and_of_no_load() {
-    let weights = Question {
+    let weights = DeltaRequest {
         interest: Interest::Weights,
         ..all(false)
     };
@@ -283,7 +283,7 @@
     let mut busy = daemon(9, HALL);
     busy.sequence = 2;
     busy.report.as_mut().unwrap().running = 3;
-    callee.hear_daemon(Millis(2), busy, 0);
+    callee.merge_daemon(Millis(2), busy, 0);
     let news = asker.ask(2, &callee, weights);
     assert!(news.loads.is_empty() && news.daemons.is_empty());
     // One that is not known here may have any engine.
--- a/crates/moleroad_directory/tests/relays.rs
+++ b/crates/moleroad_directory/tests/relays.rs
@@ -17,12 +17,12 @@
     }
 }
 
-fn all_since(cursor: Cursor) -> Question {
-    Question {
+fn all_since(cursor: Cursor) -> DeltaRequest {
+    DeltaRequest {
         scope: Scope::All,
         after: cursor,
         pieces: true,
-        ..Question::default()
+        ..DeltaRequest::default()
     }
 }
 
@@ -32,7 +32,7 @@
     InstanceId::new("asker")
 }
 
-fn news(directory: &Directory, at: u64, question: Question) -> News {
+fn news(directory: &Directory, at: u64, question: DeltaRequest) -> News {
     directory.news(Millis(at), RELAY, "h1", &asker(), question)
 }
 
@@ -44,10 +44,10 @@
         for number in 0..2 {
             let name = format!("{hall}-entry-{number}");
             let entry = daemon(&name, hall, DaemonRole::Entry, port + number);
-            directory.hear_daemon(Millis(0), entry, 0);
+            directory.merge_daemon(Millis(0), entry, 0);
         }
         let name = format!("{hall}-agent");
-        directory.hear_daemon(Millis(0), agent(&name, hall, port + 5), 0);
+        directory.merge_daemon(Millis(0), agent(&name, hall, port + 5), 0);
     }
     directory
 }
@@ -66,7 +66,7 @@
         running: 9,
         ..EngineReport::default()
     });
-    assert!(directory.hear_daemon(Millis(3), busy.clone(), 0));
+    assert!(directory.merge_daemon(Millis(3), busy.clone(), 0));
     let third = news(&directory, 4, all_since(second.cursor));
     assert!(third.daemons.is_empty());
     assert_eq!(third.loads.len(), 1);
@@ -75,7 +75,7 @@
     let mut other = Directory::new();
     let mut slots = KnownSlots::default();
     for news in [first, third] {
-        let taken = other.take_news(Millis(5), &asker(), news, &mut slots);
+        let taken = other.apply_delta(Millis(5), &asker(), news, &mut slots);
         assert!(taken.is_complete);
         assert!(taken.loads.contains(&busy.instance));
     }
@@ -100,12 +100,12 @@
 #[test]
 fn another_hall_is_told_of_this_hall_and_of_who_calls_here() {
     let mut directory = two_halls();
-    let question = Question {
+    let question = DeltaRequest {
         scope: Scope::CalleesHall,
         ..all_since(Cursor::default())
     };
     assert_eq!(news(&directory, 1, question).daemons.len(), 3);
-    directory.note_first_hand(Millis(1), &InstanceId::new("h2-agent"));
+    directory.record_direct_contact(Millis(1), &InstanceId::new("h2-agent"));
     assert_eq!(news(&directory, 2, question).daemons.len(), 4);
     // Not for ever: by then it calls a relay of its own hall.
     assert_eq!(news(&directory, 5_000, question).daemons.len(), 3);
@@ -118,8 +118,8 @@
     let mut fetching = agent("h1-agent", "h1", 5);
     fetching.sequence = 2;
     fetching.pieces[0].set(3, true);
-    assert!(directory.hear_daemon(Millis(2), fetching.clone(), 0));
-    let without = Question {
+    assert!(directory.merge_daemon(Millis(2), fetching.clone(), 0));
+    let without = DeltaRequest {
         pieces: false,
         ..all_since(first.cursor)
     };
@@ -133,7 +133,7 @@
     let mut directory = two_halls();
     let mut stripped = agent("h1-agent", "h1", 5);
     stripped.pieces.clear();
-    assert!(!directory.hear_daemon(Millis(1), stripped, 0));
+    assert!(!directory.merge_daemon(Millis(1), stripped, 0));
     let known = directory.daemon(&InstanceId::new("h1-agent")).unwrap();
     assert_eq!(known.record.pieces.len(), 1);
 }
@@ -144,14 +144,14 @@
     let mut entry = Directory::new();
     let mut slots = KnownSlots::default();
     let first = news(&relay, 1, all_since(Cursor::default()));
-    entry.take_news(Millis(1), &asker(), first, &mut slots);
+    entry.apply_delta(Millis(1), &asker(), first, &mut slots);
     for at in [1_000, 2_000, 3_000, 4_000] {
         let now = Millis(at);
         let heard: Vec<DaemonRecord> = relay.daemons().map(|d| d.record.clone()).collect();
         for record in heard {
-            relay.hear_daemon(now, record, 0);
+            relay.merge_daemon(now, record, 0);
         }
-        let question = Question {
+        let question = DeltaRequest {
             lives: true,
             ..all_since(Cursor {
                 incarnation: RELAY,
@@ -160,11 +160,11 @@
         };
         let news = news(&relay, at + 100, question);
         assert!(news.daemons.is_empty());
-        let taken = entry.take_news(Millis(at + 100), &asker(), news, &mut slots);
+        let taken = entry.apply_delta(Millis(at + 100), &asker(), news, &mut slots);
         assert!(taken.is_complete);
     }
     assert_eq!(entry.ready_entries(Millis(4_500)).count(), 4);
-    let unknown = Life {
+    let unknown = RecordVersion {
         instance: InstanceId::new("stranger"),
         incarnation: 1,
         sequence: 1,
@@ -179,16 +179,16 @@
         sequence,
         ..TargetRecord::new(TargetId::new("t"), "chat", "127.0.0.1:1".parse().unwrap())
     };
-    directory.hear_target(Millis(0), record(1), 0);
+    directory.merge_target(Millis(0), record(1), 0);
     let first = news(&directory, 1, all_since(Cursor::default()));
     assert_eq!(first.targets.len(), 1);
-    directory.hear_target(Millis(1_200), record(2), 0);
+    directory.merge_target(Millis(1_200), record(2), 0);
     assert!(
         news(&directory, 1_201, all_since(first.cursor))
             .targets
             .is_empty()
     );
-    directory.hear_target(Millis(12_000), record(3), 0);
+    directory.merge_target(Millis(12_000), record(3), 0);
     assert_eq!(
         news(&directory, 12_001, all_since(first.cursor))
             .targets
@@ -198,7 +198,7 @@
     let second = news(&directory, 12_002, all_since(first.cursor));
     directory.target_gone(Millis(12_003), &TargetId::new("t"));
     let third = news(&directory, 12_004, all_since(second.cursor));
-    assert_eq!(third.targets[0].record.life, TargetLife::Gone);
+    assert_eq!(third.targets[0].record.life, TargetLifecycle::Gone);
 }
 
 #[test]
@@ -206,7 +206,7 @@
     let mut directory = Directory::new();
     for number in 0..8 {
         let name = format!("e{number}");
-        directory.hear_daemon(Millis(0), daemon(&name, "h", DaemonRole::Entry, number), 0);
+        directory.merge_daemon(Millis(0), daemon(&name, "h", DaemonRole::Entry, number), 0);
     }
     let names = |directory: &Directory, at| -> Vec<String> {
         let relays = directory.relays(Millis(at), "h");
@@ -221,7 +221,7 @@
         .filter(|record| record.instance.to_string() != first[0])
         .collect();
     for record in others {
-        directory.hear_daemon(Millis(3_000), record, 0);
+        directory.merge_daemon(Millis(3_000), record, 0);
     }
     let second = names(&directory, 3_001);
     assert_eq!(second.len(), 3);
--- a/crates/moleroad_gateway/src/agent/bring.rs
+++ b/crates/moleroad_gateway/src/agent/bring.rs
@@ -8,7 +8,7 @@
 use crate::experiments::Mechanism;
 use crate::node::Node;
 use crate::peer::CatalogModel;
-use moleroad_directory::target::whole_version;
+use moleroad_directory::target::complete_version;
 use moleroad_rollout::prelude::{Backoff, fallback};
 use moleroad_types::prelude::Millis;
 use std::sync::Arc;
@@ -178,7 +178,7 @@
     let named = view.named.get(&model.model);
     let report = view.own.report.as_ref();
     let held =
-        report.and_then(|report| whole_version(&report.holdings, &model.model, model.layers));
+        report.and_then(|report| complete_version(&report.holdings, &model.model, model.layers));
     Some(Wanted {
         model: model.clone(),
         version: named
@@ -203,7 +203,7 @@
     let view = node.view();
     match &view.own.report {
         None => Held::Unknown,
-        Some(report) => match whole_version(&report.holdings, &model.model, model.layers) {
+        Some(report) => match complete_version(&report.holdings, &model.model, model.layers) {
             Some(version) => Held::Version(version),
             None => Held::Nothing,
         },
--- a/crates/moleroad_gateway/src/agent/change.rs
+++ b/crates/moleroad_gateway/src/agent/change.rs
@@ -12,7 +12,7 @@
 use crate::node::Node;
 use crate::view::View;
 use moleroad_directory::prelude::*;
-use moleroad_directory::target::whole_version;
+use moleroad_directory::target::complete_version;
 use moleroad_rollout::prelude::*;
 use moleroad_types::prelude::{InstanceId, Millis};
 use std::sync::Arc;
@@ -177,7 +177,7 @@
     let view = node.view();
     let engine = node.settings.engine;
     let heard = engine.and_then(|engine| view.directory.target_at(engine));
-    heard.is_some_and(|heard| heard.record.life != TargetLife::Ready)
+    heard.is_some_and(|heard| heard.record.life != TargetLifecycle::Ready)
 }
 
 /// Whether the engine's hall is evacuated and nothing runs there any more: its
@@ -193,8 +193,9 @@
 fn serves(other: &DaemonRecord, target: &Wanted) -> bool {
     let model = &target.model;
     let report = other.report.as_ref();
-    report
-        .is_some_and(|report| whole_version(&report.holdings, &model.model, model.layers).is_some())
+    report.is_some_and(|report| {
+        complete_version(&report.holdings, &model.model, model.layers).is_some()
+    })
 }
 
 /// The time that the version leaves is shared out evenly.
--- a/crates/moleroad_gateway/src/agent/digests.rs
+++ b/crates/moleroad_gateway/src/agent/digests.rs
@@ -142,7 +142,7 @@
 /// heard lately.
 pub fn fellows(view: &View, now: Millis) -> Vec<&DaemonRecord> {
     let own = &view.own;
-    let is_fellow = |heard: &&Heard<DaemonRecord>| {
+    let is_fellow = |heard: &&Observed<DaemonRecord>| {
         let other = &heard.record;
         other.role == DaemonRole::Agent
             && other.service == own.service
--- a/crates/moleroad_gateway/src/candidates.rs
+++ b/crates/moleroad_gateway/src/candidates.rs
@@ -7,7 +7,7 @@
 use crate::view::View;
 use moleroad_config::prelude::{RouteTable, Service};
 use moleroad_directory::prelude::*;
-use moleroad_directory::target::whole_version;
+use moleroad_directory::target::complete_version;
 use moleroad_dispatch::prelude::*;
 use moleroad_types::prelude::{Millis, Region};
 use std::collections::HashMap;
@@ -50,7 +50,7 @@
             let Some(service) = table.service(&record.service) else {
                 continue;
             };
-            if record.life != TargetLife::Ready {
+            if record.life != TargetLifecycle::Ready {
                 continue;
             }
             let agent = agents.get(&record.address).copied();
@@ -164,7 +164,7 @@
                 Some(report) => &report.holdings,
                 None => record.holdings.as_ref()?,
             };
-            Some(whole_version(holdings, &model.name, model.layers)?)
+            Some(complete_version(holdings, &model.name, model.layers)?)
         }
     };
     let slots = record.slots.max(1);
@@ -208,7 +208,7 @@
     })
 }
 
-fn current_report(now: Millis, agent: &Heard<DaemonRecord>) -> Option<&EngineReport> {
+fn current_report(now: Millis, agent: &Observed<DaemonRecord>) -> Option<&EngineReport> {
     let is_current = now.since(agent.at) < REPORT_CURRENT_MS;
     agent.record.report.as_ref().filter(|_| is_current)
 }
--- a/crates/moleroad_gateway/src/cold_news.rs
+++ b/crates/moleroad_gateway/src/cold_news.rs
@@ -39,7 +39,7 @@
     }
 
     /// Says so in the log when a target turns cold or is cold no longer.
-    fn note_belief(&mut self, now: Millis, heard: &Heard<TargetRecord>, cold: &ColdTarget) {
+    fn note_belief(&mut self, now: Millis, heard: &Observed<TargetRecord>, cold: &ColdTarget) {
         let id = &heard.record.id;
         // What is only assumed of targets that are new here is no news.
         let is_cold = cold.until > now && cold.source != ColdSource::FirstHeard;
@@ -122,7 +122,7 @@
         &self,
         settings: &Settings,
         start: ColdStart,
-        heard: &Heard<TargetRecord>,
+        heard: &Observed<TargetRecord>,
     ) -> ColdTarget {
         let id = &heard.record.id;
         let first_heard = self.cold.first_heard(id);
--- a/crates/moleroad_gateway/src/front/stream.rs
+++ b/crates/moleroad_gateway/src/front/stream.rs
@@ -103,7 +103,9 @@
 /// on purpose to take other weights.
 fn broken_outcome(node: &Node, running: &Running) -> Outcome {
     let view = node.view();
-    let agent = view.directory.agent_of(running.place.candidate.address);
+    let agent = view
+        .directory
+        .agent_for_engine(running.place.candidate.address);
     let report = agent.and_then(|agent| agent.record.report.as_ref());
     if report.is_some_and(|report| report.switching) {
         Outcome::Abandoned
--- a/crates/moleroad_gateway/src/greeting/answer.rs
+++ b/crates/moleroad_gateway/src/greeting/answer.rs
@@ -25,17 +25,17 @@
     let mut changed = caller.record_changed;
     // A relay of another hall asks for this hall only and is no news to pass on.
     if hello.question.scope != Scope::CalleesHall {
-        view.directory.note_first_hand(now, &caller.instance);
+        view.directory.record_direct_contact(now, &caller.instance);
     }
     for aged in hello.targets {
-        let change = view.directory.hear_target(now, aged.record, aged.age_ms);
+        let change = view.directory.merge_target(now, aged.record, aged.age_ms);
         changed |= change == TargetChange::Changed;
     }
     view.take_leader(hello.leader);
     let record = view.directory.daemon(&caller.instance);
     let peer = record.map(|heard| heard.record.peer);
     let is_agent = record.is_some_and(|heard| heard.record.role == DaemonRole::Agent);
-    view.directory.hear_daemon(now, own, 0);
+    view.directory.merge_daemon(now, own, 0);
     let news = view.directory.news(
         now,
         view.own.incarnation,
--- a/crates/moleroad_gateway/src/greeting/hello.rs
+++ b/crates/moleroad_gateway/src/greeting/hello.rs
@@ -6,12 +6,12 @@
 use moleroad_membership::prelude::*;
 
 /// What this daemon tells a contact, and what that contact then was told.
-pub(super) fn hello(node: &Node, contact: &Contact, told: Told) -> (Hello, Told) {
+pub(super) fn hello(node: &Node, contact: &Contact, told: PeerState) -> (Hello, PeerState) {
     let now = node.clock.now();
     let mut view = node.view();
     let own = view.own.clone();
-    view.directory.hear_daemon(now, own, 0);
-    let called = |heard: &&Heard<TargetRecord>| {
+    view.directory.merge_daemon(now, own, 0);
+    let called = |heard: &&Observed<TargetRecord>| {
         let call = view.to_tell.get(&heard.record.id);
         call.is_some_and(|call| *call > told.calls)
     };
@@ -21,7 +21,7 @@
     let mut next = told;
     let question = next.question(now, contact);
     let hello = Hello {
-        from: Speaker::since(&view.directory, &view.own, told.position),
+        from: CallerUpdate::since(&view.directory, &view.own, told.position),
         member: node.core.as_ref().map(|core| core.own.clone()),
         config_version: view.state.config_version(),
         config_digest: view.config_digest,
@@ -34,7 +34,7 @@
         ends,
         ends_after: node.settings.role.knows_all().then_some(told.ends_cursor),
     };
-    let next = Told {
+    let next = PeerState {
         ends_position,
         at: now.0,
         position: view.directory.position(),
--- a/crates/moleroad_gateway/src/greeting/mod.rs
+++ b/crates/moleroad_gateway/src/greeting/mod.rs
@@ -15,7 +15,7 @@
 use hello::hello;
 use moleroad_config::prelude::ConfigVersion;
 use moleroad_directory::prelude::*;
-use moleroad_membership::contacts::LONG_SILENT_MS;
+use moleroad_membership::contacts::ISOLATION_TIMEOUT_MS;
 use moleroad_membership::prelude::*;
 use moleroad_types::prelude::Millis;
 use std::net::SocketAddr;
@@ -31,7 +31,7 @@
 
 /// Greets others until the process ends.
 pub async fn greet(node: Arc<Node>) {
-    let greeted: Arc<Mutex<Greeted>> = Arc::default();
+    let greeted: Arc<Mutex<GossipState>> = Arc::default();
     loop {
         drop(node.standstill());
         for contact in due(&node, &greeted) {
@@ -48,35 +48,35 @@
     }
 }
 
-fn lock(greeted: &Mutex<Greeted>) -> MutexGuard<'_, Greeted> {
+fn lock(greeted: &Mutex<GossipState>) -> MutexGuard<'_, GossipState> {
     greeted.lock().unwrap_or_else(|error| error.into_inner())
 }
 
 /// Contacts to greet now.
-fn due(node: &Node, greeted: &Mutex<Greeted>) -> Vec<Contact> {
+fn due(node: &Node, greeted: &Mutex<GossipState>) -> Vec<Contact> {
     let now = node.clock.now();
     let seeds = node.seeds();
     let mut view = node.view();
     let own = view.own.clone();
-    view.directory.hear_daemon(now, own, 0);
+    view.directory.merge_daemon(now, own, 0);
     let passes_ends_on = node.settings.role.knows_all();
     let ends_position = passes_ends_on.then(|| view.quarantine.suspects.position());
     let greeted = lock(greeted);
-    let standing = Standing {
+    let standing = ContactPlanner {
         now,
         directory: &view.directory,
         own: &view.own,
         seeds: &seeds,
         resting: &greeted.resting(now),
         is_busy: node.in_flight.load(std::sync::atomic::Ordering::Relaxed) > 0,
-        is_ignorant: view.table.is_none() && view.catalog.models.is_empty(),
+        lacks_configuration: view.table.is_none() && view.catalog.models.is_empty(),
         is_young: node.is_young(now),
-        is_lost: greeted.silent_ms(now) >= LONG_SILENT_MS,
+        is_lost: greeted.silent_ms(now) >= ISOLATION_TIMEOUT_MS,
     };
     greeted.due(now, standing.contacts(), ends_position)
 }
 
-async fn greet_one(node: Arc<Node>, contact: Contact, greeted: Arc<Mutex<Greeted>>) {
+async fn greet_one(node: Arc<Node>, contact: Contact, greeted: Arc<Mutex<GossipState>>) {
     let address = contact.address;
     let before = lock(&greeted).told(address);
     let (hello, next) = hello(&node, &contact, before);
@@ -139,9 +139,9 @@
 fn take_answer(
     node: &Arc<Node>,
     contact: &Contact,
-    next: Told,
+    next: PeerState,
     answer: HelloAnswer,
-    greeted: &Mutex<Greeted>,
+    greeted: &Mutex<GossipState>,
 ) {
     let now = node.clock.now();
     node.take_halls(&answer.halls, Source::Greeting);
@@ -159,9 +159,9 @@
         node.metrics.count_told("received", &answer.news);
         let own = view.own.instance.clone();
         let slots = greeted.slots(contact.address);
-        let taken = view.directory.take_news(now, &own, answer.news, slots);
+        let taken = view.directory.apply_delta(now, &own, answer.news, slots);
         if !taken.is_complete {
-            greeted.forget_cursor(contact.address);
+            greeted.reset_cursor(contact.address);
         }
         for instance in &taken.loads {
             take::count_load(&mut view, now, instance);
--- a/crates/moleroad_gateway/src/node.rs
+++ b/crates/moleroad_gateway/src/node.rs
@@ -249,7 +249,7 @@
             view.own.sequence += 1;
         }
         let (now, own) = (self.clock.now(), view.own.clone());
-        view.directory.hear_daemon(now, own, 0);
+        view.directory.merge_daemon(now, own, 0);
     }
 
     /// Takes what is newer in `state`; true if anything was.
--- a/crates/moleroad_gateway/src/peer.rs
+++ b/crates/moleroad_gateway/src/peer.rs
@@ -6,7 +6,7 @@
 use moleroad_config::prelude::ConfigVersion;
 use moleroad_consensus::prelude::{MemberInfo, Message};
 use moleroad_directory::prelude::*;
-use moleroad_membership::prelude::Speaker;
+use moleroad_membership::prelude::CallerUpdate;
 use moleroad_quarantine::prelude::TerminationReport;
 use serde::{Deserialize, Serialize};
 use serde_bytes::ByteBuf;
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Hello {
     /// The daemon.
-    pub from: Speaker,
+    pub from: CallerUpdate,
     /// Its disk, if it could be a member of the control group.
     pub member: Option<MemberInfo>,
     /// Version of the configuration that it has in force.
@@ -40,7 +40,7 @@
     /// Targets that called it since its last hello.
     pub targets: Vec<Aged<TargetRecord>>,
     /// What it wants to hear.
-    pub question: Question,
+    pub question: DeltaRequest,
     /// Digest of the [`Catalog`] that it knows; agents only.
     pub catalog_digest: u64,
     /// Halls that were ever evacuated, as it knows them.
--- a/crates/moleroad_gateway/src/run.rs
+++ b/crates/moleroad_gateway/src/run.rs
@@ -16,7 +16,7 @@
 use crate::system_calls;
 use crate::view::View;
 use moleroad_consensus::prelude::{Configuration, MemberId, MemberInfo, Message};
-use moleroad_directory::relays::FEWEST_RELAYS;
+use moleroad_directory::relays::MIN_RELAYS;
 use moleroad_types::prelude::Millis;
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
@@ -244,7 +244,7 @@
     let halls = view.directory.entry_halls().into_iter();
     let relays = halls.flat_map(|hall| {
         let relays = view.directory.relays(now, hall).into_iter();
-        relays.take(FEWEST_RELAYS)
+        relays.take(MIN_RELAYS)
     });
     let others = relays.filter(|relay| relay.instance != view.own.instance);
     others.map(|relay| relay.peer).collect()
@@ -258,7 +258,7 @@
         {
             let mut view = node.view();
             let own = view.own.clone();
-            view.directory.hear_daemon(now, own, 0);
+            view.directory.merge_daemon(now, own, 0);
             view.refresh_candidates(now, &node.settings);
         }
         let span_ms = now.since(measured_at);
--- a/crates/moleroad_gateway/src/target_news.rs
+++ b/crates/moleroad_gateway/src/target_news.rs
@@ -28,7 +28,7 @@
     let (change, kept) = {
         let mut view = node.view();
         let id = record.id.clone();
-        let change = view.directory.hear_target(now, record, 0);
+        let change = view.directory.merge_target(now, record, 0);
         view.tell_of(&id);
         let kept = view.directory.target(&id).map(|heard| heard.record.clone());
         (change, kept)
@@ -48,7 +48,7 @@
         applied(node);
         // Entries learn the rest from their relays; that a target leaves they
         // must know before its word is acknowledged.
-        if record.life != TargetLife::Ready {
+        if record.life != TargetLifecycle::Ready {
             spread(node, TargetNews::Changed(Aged { record, age_ms: 0 })).await;
         }
     }
@@ -74,7 +74,7 @@
         for item in news {
             match item {
                 TargetNews::Changed(aged) => {
-                    view.directory.hear_target(now, aged.record, aged.age_ms);
+                    view.directory.merge_target(now, aged.record, aged.age_ms);
                 }
                 TargetNews::Gone(id) => {
                     view.directory.target_gone(now, &id);
@@ -142,10 +142,10 @@
     let now = node.clock.now();
     let own = node.settings.peer_address();
     let view = node.view();
-    let lately = |heard: &&Heard<DaemonRecord>| {
+    let lately = |heard: &&Observed<DaemonRecord>| {
         heard.record.role == DaemonRole::Entry
             && heard.record.peer != own
-            && now.since(heard.at) < moleroad_directory::directory::DAEMON_QUIET_MS
+            && now.since(heard.at) < moleroad_directory::directory::DAEMON_SUSPECT_MS
     };
     let entries = view.directory.daemons().filter(lately);
     let places = entries.map(|heard| (heard.record.hall.clone(), heard.record.peer));
--- a/crates/moleroad_gateway/tests/cold.rs
+++ b/crates/moleroad_gateway/tests/cold.rs
@@ -96,10 +96,10 @@
     let mut view = View::new(daemon(DaemonRole::Entry, 1));
     view.table = Some(table);
     let directory = &mut view.directory;
-    directory.hear_daemon(Millis(1_000), daemon(DaemonRole::Agent, 2), 0);
-    directory.hear_target(Millis(1_000), target(0, 1), 0);
+    directory.merge_daemon(Millis(1_000), daemon(DaemonRole::Agent, 2), 0);
+    directory.merge_target(Millis(1_000), target(0, 1), 0);
     view.refresh_candidates(Millis(1_000), settings);
-    view.directory.hear_target(Millis(2_200), target(0, 2), 0);
+    view.directory.merge_target(Millis(2_200), target(0, 2), 0);
     view.refresh_candidates(Millis(2_200), settings);
     view
 }
@@ -115,24 +115,24 @@
     let mut view = View::new(daemon(DaemonRole::Entry, 1));
     view.table = Some(table(true, Some(BOUND)));
     let now = Millis(1_000);
-    view.directory.hear_target(now, target(0, 1), 0);
+    view.directory.merge_target(now, target(0, 1), 0);
     view.refresh_candidates(now, &settings);
     // Its agent may be there and grant to others: it is asked where it would be.
     let agent = |view: &View| view.services["chat"].targets.candidates()[0].agent;
     assert_eq!(admission(&view, 1_000), Admission::Grant);
     assert_eq!(agent(&view), Some(address(1)));
     view.directory
-        .hear_daemon(now, daemon(DaemonRole::Agent, 2), 0);
+        .merge_daemon(now, daemon(DaemonRole::Agent, 2), 0);
     view.refresh_candidates(now, &settings);
     assert_eq!(agent(&view), Some(address(2)));
     assert_eq!(admission(&view, 1_000), Admission::Grant);
     assert_eq!(admission(&view, 4_000), Admission::Unrestricted);
-    view.directory.hear_target(Millis(2_200), target(0, 2), 0);
+    view.directory.merge_target(Millis(2_200), target(0, 2), 0);
     view.refresh_candidates(Millis(2_200), &settings);
     assert_eq!(admission(&view, 2_200), Admission::Unrestricted);
     // Relayed word is as old as it is.
     view.directory
-        .hear_target(Millis(9_000), target(2_000, 9), 500);
+        .merge_target(Millis(9_000), target(2_000, 9), 500);
     view.refresh_candidates(Millis(9_000), &settings);
     assert_eq!(admission(&view, 10_499), Admission::Grant);
     assert_eq!(admission(&view, 10_500), Admission::Unrestricted);
@@ -147,7 +147,7 @@
         let settings = settings(off);
         let mut view = view(table, &settings);
         view.directory
-            .hear_target(Millis(3_000), target(3_000, 3), 0);
+            .merge_target(Millis(3_000), target(3_000, 3), 0);
         view.refresh_candidates(Millis(3_000), &settings);
         assert_eq!(admission(&view, 3_000), Admission::Unrestricted);
     }
@@ -159,7 +159,7 @@
         let settings = settings(off);
         let mut view = view(table(is_engine, Some(BOUND)), &settings);
         view.directory
-            .hear_target(Millis(3_000), target(3_000, 3), 0);
+            .merge_target(Millis(3_000), target(3_000, 3), 0);
         view.refresh_candidates(Millis(3_000), &settings);
         let id = TargetId::new("t");
         assert_eq!(admission(&view, 3_000), Admission::Quota);
@@ -203,7 +203,7 @@
         let settings = settings(off);
         let mut view = view(compiled(steps), &settings);
         view.directory
-            .hear_target(Millis(3_000), target(3_000, 3), 0);
+            .merge_target(Millis(3_000), target(3_000, 3), 0);
         view.refresh_candidates(Millis(3_000), &settings);
         assert_eq!(admission(&view, 3_000), Admission::Quota);
         let targets = &view.services["chat"].targets;
@@ -217,7 +217,7 @@
     let settings = settings("");
     let mut view = view(table(true, Some(BOUND)), &settings);
     view.directory
-        .hear_target(Millis(3_000), target(3_000, 3), 0);
+        .merge_target(Millis(3_000), target(3_000, 3), 0);
     view.refresh_candidates(Millis(3_000), &settings);
     let targets = &view.services["chat"].targets;
     assert!(targets.have_agents());
@@ -238,7 +238,7 @@
     let settings = settings("");
     let mut view = View::new(daemon(DaemonRole::Entry, 1));
     view.table = Some(table(true, Some(BOUND)));
-    view.directory.hear_target(Millis(1_000), target(0, 1), 0);
+    view.directory.merge_target(Millis(1_000), target(0, 1), 0);
     let mut agent_at = |now| {
         view.refresh_candidates(Millis(now), &settings);
         view.services["chat"].targets.candidates()[0].agent
--- a/crates/moleroad_gateway/tests/evacuations.rs
+++ b/crates/moleroad_gateway/tests/evacuations.rs
@@ -162,11 +162,13 @@
         assert!(read.halls.is_empty() && read.ends.is_empty());
     }
     let hello = Hello {
-        from: moleroad_membership::prelude::Speaker::Same(moleroad_directory::prelude::Life {
-            instance: moleroad_types::prelude::InstanceId::new("a"),
-            incarnation: 1,
-            sequence: 1,
-        }),
+        from: moleroad_membership::prelude::CallerUpdate::Same(
+            moleroad_directory::prelude::RecordVersion {
+                instance: moleroad_types::prelude::InstanceId::new("a"),
+                incarnation: 1,
+                sequence: 1,
+            },
+        ),
         member: None,
         config_version: Default::default(),
         versions: BTreeMap::new(),
--- a/crates/moleroad_gateway/tests/fan_out.rs
+++ b/crates/moleroad_gateway/tests/fan_out.rs
@@ -23,7 +23,7 @@
 fn is_gone(node: &Node) -> bool {
     let view = node.view();
     let target = view.directory.target(&TargetId::new("i-a"));
-    target.is_some_and(|heard| heard.record.life == TargetLife::Gone)
+    target.is_some_and(|heard| heard.record.life == TargetLifecycle::Gone)
 }
 
 /// An entry and others that it knows, all of which know one target; `silent` of
@@ -48,7 +48,7 @@
         };
         let now = caller.clock.now();
         let record = entry_record(number, peer);
-        caller.view().directory.hear_daemon(now, record, 0);
+        caller.view().directory.merge_daemon(now, record, 0);
     }
     (caller, others)
 }
--- a/crates/moleroad_gateway/tests/halls.rs
+++ b/crates/moleroad_gateway/tests/halls.rs
@@ -36,12 +36,12 @@
         address: SocketAddr::from(([127, 0, 0, 2], id.len() as u16)),
         hall: hall.into(),
         slots: 4,
-        life: TargetLife::Ready,
+        life: TargetLifecycle::Ready,
         cold_left_ms: 0,
         sequence: 1,
         holdings: None,
         born_ms: 0,
-        limit: NamedLimit::default(),
+        limit: AdvertisedLimit::default(),
     }
 }
 
@@ -55,9 +55,10 @@
     view.table = Some(Arc::new(RouteTable::compile(&configuration)));
     let now = Millis(1_000);
     let own = view.own.clone();
-    view.directory.hear_daemon(now, own, 0);
-    view.directory.hear_target(now, target("i-a", "hall-a"), 0);
-    view.directory.hear_target(now, target("i-bb", "hall-b"), 0);
+    view.directory.merge_daemon(now, own, 0);
+    view.directory.merge_target(now, target("i-a", "hall-a"), 0);
+    view.directory
+        .merge_target(now, target("i-bb", "hall-b"), 0);
     view.refresh_candidates(now, &settings());
     view
 }
--- a/crates/moleroad_gateway/tests/support/mod.rs
+++ b/crates/moleroad_gateway/tests/support/mod.rs
@@ -158,7 +158,7 @@
         let mut view = node.view();
         view.table = Some(Arc::new(RouteTable::compile(&configuration)));
         let own = view.own.clone();
-        view.directory.hear_daemon(now, own, 0);
+        view.directory.merge_daemon(now, own, 0);
     }
     add_target(
         &node,
@@ -177,16 +177,16 @@
         address,
         hall: hall.into(),
         slots: 1,
-        life: TargetLife::Ready,
+        life: TargetLifecycle::Ready,
         cold_left_ms: 0,
         sequence: 1,
         holdings: None,
         born_ms: 0,
-        limit: NamedLimit::default(),
+        limit: AdvertisedLimit::default(),
     };
     let now = node.clock.now();
     let mut view = node.view();
-    view.directory.hear_target(now, target, 0);
+    view.directory.merge_target(now, target, 0);
     view.refresh_candidates(now, &node.settings);
 }
 
--- a/crates/moleroad_gateway/tests/target_notices.rs
+++ b/crates/moleroad_gateway/tests/target_notices.rs
@@ -202,7 +202,7 @@
         .record
         .clone();
     record.sequence += 1;
-    node.view().directory.hear_target(now, record, 0);
+    node.view().directory.merge_target(now, record, 0);
     // Also when it was on no list for a while.
     node.view().services.clear();
     node.view().refresh_candidates(now, &node.settings);
--- a/crates/moleroad_membership/src/contacts.rs
+++ b/crates/moleroad_membership/src/contacts.rs
@@ -36,7 +36,7 @@
 /// Time between tries to reach a daemon that fell silent, in milliseconds.
 const PROBE_MS: u64 = 1_000;
 /// Without news for this long a daemon turns to its seeds, in milliseconds.
-pub const LONG_SILENT_MS: u64 = 1_000;
+pub const ISOLATION_TIMEOUT_MS: u64 = 1_000;
 /// Entries that an agent without relays in its data hall turns to.
 const FAR_RELAYS: usize = 2;
 /// Relays of its data hall that an agent tells of itself: the one that it asks and
@@ -69,7 +69,7 @@
 }
 
 /// What the choice of contacts depends on.
-pub struct Standing<'a> {
+pub struct ContactPlanner<'a> {
     /// Now.
     pub now: Millis,
     /// What is known of daemons.
@@ -83,14 +83,14 @@
     /// Whether there are requests.
     pub is_busy: bool,
     /// Whether nothing is known to be in force.
-    pub is_ignorant: bool,
+    pub lacks_configuration: bool,
     /// Whether this daemon began a short while ago.
     pub is_young: bool,
     /// Whether no news came for long.
     pub is_lost: bool,
 }
 
-impl Standing<'_> {
+impl ContactPlanner<'_> {
     /// All daemons to greet, each once.
     pub fn contacts(&self) -> Vec<Contact> {
         let mut contacts = match self.own.role {
@@ -260,8 +260,8 @@
         Some(self.asked(*address, Scope::All, PROBE_MS))
     }
 
-    fn is_silent(&self, heard: &Heard<DaemonRecord>) -> bool {
-        self.now.since(heard.at) >= moleroad_directory::directory::DAEMON_QUIET_MS
+    fn is_silent(&self, heard: &Observed<DaemonRecord>) -> bool {
+        self.now.since(heard.at) >= moleroad_directory::directory::DAEMON_SUSPECT_MS
     }
 
     fn of_agent(&self) -> Vec<Contact> {
@@ -319,7 +319,7 @@
 
     /// A contact that is asked for news.
     fn asked(&self, address: SocketAddr, scope: Scope, every_ms: u64) -> Contact {
-        let every_ms = if self.is_ignorant || self.is_young {
+        let every_ms = if self.lacks_configuration || self.is_young {
             every_ms.min(IGNORANT_GREETS_MS)
         } else {
             every_ms
--- a/crates/moleroad_membership/src/greeted.rs
+++ b/crates/moleroad_membership/src/greeted.rs
@@ -14,7 +14,7 @@
 
 /// What passed between this daemon and another one.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Told {
+pub struct PeerState {
     /// When it was last greeted, in milliseconds.
     pub at: u64,
     /// Position of this daemon's directory when it was last told of this
@@ -41,9 +41,9 @@
     pub rests_until: u64,
 }
 
-impl Told {
+impl PeerState {
     /// The question for a contact, `now`; also notes when signs of life are asked.
-    pub fn question(&mut self, now: Millis, contact: &Contact) -> Question {
+    pub fn question(&mut self, now: Millis, contact: &Contact) -> DeltaRequest {
         let lives = contact.scope != Scope::Nothing && now.0 >= self.lives_at + LIVES_EVERY_MS;
         if lives {
             self.lives_at = now.0;
@@ -53,7 +53,7 @@
             self.cursor = Cursor::default();
             self.scope = contact.scope;
         }
-        Question {
+        DeltaRequest {
             scope: contact.scope,
             after: self.cursor,
             lives,
@@ -79,16 +79,16 @@
 
 /// What passed between this daemon and the others.
 #[derive(Debug, Default)]
-pub struct Greeted {
-    told: HashMap<SocketAddr, Told>,
+pub struct GossipState {
+    told: HashMap<SocketAddr, PeerState>,
     waiting: HashSet<SocketAddr>,
     slots: HashMap<SocketAddr, KnownSlots>,
     news_at: Option<Millis>,
 }
 
-impl Greeted {
+impl GossipState {
     /// What passed with the daemon at `address`.
-    pub fn told(&self, address: SocketAddr) -> Told {
+    pub fn told(&self, address: SocketAddr) -> PeerState {
         self.told.get(&address).copied().unwrap_or_default()
     }
 
@@ -137,8 +137,8 @@
     }
 
     /// Takes that a contact answered a greeting that told it `next`.
-    pub fn answered(&mut self, now: Millis, contact: &Contact, next: Told, answer: Answered) {
-        let mut next = Told {
+    pub fn answered(&mut self, now: Millis, contact: &Contact, next: PeerState, answer: Answered) {
+        let mut next = PeerState {
             answers: true,
             rests_until: 0,
             ends_cursor: answer.ends_cursor,
@@ -158,16 +158,16 @@
 
     /// Takes that a contact did not answer a greeting; `before` is what had passed
     /// before it, for what it was told may not have arrived.
-    pub fn unanswered(&mut self, now: Millis, contact: &Contact, before: Told) {
+    pub fn unanswered(&mut self, now: Millis, contact: &Contact, before: PeerState) {
         let at = self.told(contact.address).at;
-        let next = Told {
+        let next = PeerState {
             at,
             rests_until: now.0 + REST_MS,
             cursor: before.cursor,
             scope: before.scope,
             ends_position: before.ends_position,
             ends_cursor: before.ends_cursor,
-            ..Told::default()
+            ..PeerState::default()
         };
         self.waiting.remove(&contact.address);
         self.told.insert(contact.address, next);
@@ -180,7 +180,7 @@
 
     /// Notes that a contact spoke of daemons that are not known here, so that all
     /// must be asked for again.
-    pub fn forget_cursor(&mut self, address: SocketAddr) {
+    pub fn reset_cursor(&mut self, address: SocketAddr) {
         if let Some(told) = self.told.get_mut(&address) {
             told.cursor = Cursor::default();
             told.has_more = false;
--- a/crates/moleroad_membership/src/lib.rs
+++ b/crates/moleroad_membership/src/lib.rs
@@ -18,8 +18,8 @@
 
 /// The types most users of the crate need.
 pub mod prelude {
-    pub use crate::contacts::{Contact, Standing};
+    pub use crate::contacts::{Contact, ContactPlanner};
     pub use crate::fan_out::{Branch, fan_out};
-    pub use crate::greeted::{Answered, Greeted, Told};
-    pub use crate::speaker::{Speaker, SpeakerNews};
+    pub use crate::greeted::{Answered, GossipState, PeerState};
+    pub use crate::speaker::{CallerUpdate, CallerUpdateOutcome};
 }
--- a/crates/moleroad_membership/src/speaker.rs
+++ b/crates/moleroad_membership/src/speaker.rs
@@ -6,18 +6,18 @@
 
 /// What a caller says of itself.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Speaker {
+pub enum CallerUpdate {
     /// Its whole record.
     Record(Box<DaemonRecord>),
     /// That only its load changed.
-    Load(Life, LoadNews),
+    Load(RecordVersion, LoadNews),
     /// That it lives; its record did not change since the callee took it.
-    Same(Life),
+    Same(RecordVersion),
 }
 
 /// What a speaker's word came to at the callee.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SpeakerNews {
+pub struct CallerUpdateOutcome {
     /// Instance of the speaker.
     pub instance: InstanceId,
     /// Whether the record of this life of it is known.
@@ -28,7 +28,7 @@
     pub load_changed: bool,
 }
 
-impl Speaker {
+impl CallerUpdate {
     /// As little of the daemon `own` as a callee needs that was told of it up to
     /// `position` of its directory; 0 when the callee may not know it.
     pub fn since(directory: &Directory, own: &DaemonRecord, position: u64) -> Self {
@@ -37,9 +37,9 @@
         match changes {
             Some(changes) if changes.record.max(changes.pieces) <= position => {
                 if changes.load > position {
-                    Self::Load(Life::of(own), LoadNews::of(own))
+                    Self::Load(RecordVersion::of(own), LoadNews::of(own))
                 } else {
-                    Self::Same(Life::of(own))
+                    Self::Same(RecordVersion::of(own))
                 }
             }
             _ => Self::Record(Box::new(own.clone())),
@@ -47,13 +47,18 @@
     }
 
     /// Takes the word of a speaker other than the daemon `own`.
-    pub fn take(self, directory: &mut Directory, now: Millis, own: &DaemonRecord) -> SpeakerNews {
+    pub fn take(
+        self,
+        directory: &mut Directory,
+        now: Millis,
+        own: &DaemonRecord,
+    ) -> CallerUpdateOutcome {
         match self {
             Self::Record(record) => {
                 let instance = record.instance.clone();
                 let is_other = instance != own.instance;
-                let changed = is_other && directory.hear_daemon(now, *record, 0);
-                SpeakerNews {
+                let changed = is_other && directory.merge_daemon(now, *record, 0);
+                CallerUpdateOutcome {
                     is_known: true,
                     record_changed: changed,
                     load_changed: changed,
@@ -62,24 +67,24 @@
             }
             Self::Load(life, load) => {
                 let is_other = life.instance != own.instance;
-                let news = SpeakerNews::of_life(directory, &life);
+                let news = CallerUpdateOutcome::of_life(directory, &life);
                 let load_changed = is_other && directory.hear_load(now, &life, load, 0);
                 directory.hear_life(now, &life, 0);
-                SpeakerNews {
+                CallerUpdateOutcome {
                     load_changed,
                     ..news
                 }
             }
             Self::Same(life) => {
                 directory.hear_life(now, &life, 0);
-                SpeakerNews::of_life(directory, &life)
+                CallerUpdateOutcome::of_life(directory, &life)
             }
         }
     }
 }
 
-impl SpeakerNews {
-    fn of_life(directory: &Directory, life: &Life) -> Self {
+impl CallerUpdateOutcome {
+    fn of_life(directory: &Directory, life: &RecordVersion) -> Self {
         let heard = directory.daemon(&life.instance);
         Self {
             instance: life.instance.clone(),
--- a/crates/moleroad_membership/tests/contacts.rs
+++ b/crates/moleroad_membership/tests/contacts.rs
@@ -1,7 +1,7 @@
 //! Whom a daemon greets, from what it knows.
 
 use moleroad_directory::prelude::*;
-use moleroad_membership::prelude::{Contact, Standing};
+use moleroad_membership::prelude::{Contact, ContactPlanner};
 use moleroad_types::prelude::*;
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -29,7 +29,7 @@
             } else {
                 DaemonRole::Agent
             };
-            directory.hear_daemon(Millis(0), daemon(first + number, hall, role), 0);
+            directory.merge_daemon(Millis(0), daemon(first + number, hall, role), 0);
         }
     }
     directory
@@ -37,14 +37,14 @@
 
 fn contacts(directory: &Directory, own: &DaemonRecord, resting: &[SocketAddr]) -> Vec<Contact> {
     let resting: HashSet<SocketAddr> = resting.iter().copied().collect();
-    let standing = Standing {
+    let standing = ContactPlanner {
         now: Millis(1),
         directory,
         own,
         seeds: &[peer(100)],
         resting: &resting,
         is_busy: true,
-        is_ignorant: false,
+        lacks_configuration: false,
         is_young: false,
         is_lost: false,
     };
@@ -106,22 +106,22 @@
     let mut directory = three_halls();
     for number in 100..128 {
         let own = daemon(number, "a", DaemonRole::Entry);
-        directory.hear_life(Millis(1_600), &Life::of(&own), 0);
+        directory.hear_life(Millis(1_600), &RecordVersion::of(&own), 0);
     }
     for number in 300..328 {
         let far = daemon(number, "c", DaemonRole::Entry);
-        directory.hear_life(Millis(1_600), &Life::of(&far), 0);
+        directory.hear_life(Millis(1_600), &RecordVersion::of(&far), 0);
     }
     let mut asked = Vec::new();
     for relay in relays_of(&directory, "a") {
-        let standing = Standing {
+        let standing = ContactPlanner {
             now: Millis(1_600),
             directory: &directory,
             own: &relay,
             seeds: &[],
             resting: &HashSet::new(),
             is_busy: false,
-            is_ignorant: false,
+            lacks_configuration: false,
             is_young: false,
             is_lost: false,
         };
@@ -141,7 +141,7 @@
             } else {
                 DaemonRole::Agent
             };
-            directory.hear_daemon(Millis(0), daemon(number, "a", role), 0);
+            directory.merge_daemon(Millis(0), daemon(number, "a", role), 0);
         }
         assert_eq!(relays_of(&directory, "a").len(), relays);
     }
@@ -151,15 +151,15 @@
 fn a_daemon_that_is_lost_asks_the_seeds_whom_to_ask() {
     let own = daemon(101, "a", DaemonRole::Entry);
     let mut directory = Directory::new();
-    directory.hear_daemon(Millis(0), own.clone(), 0);
-    let standing = Standing {
+    directory.merge_daemon(Millis(0), own.clone(), 0);
+    let standing = ContactPlanner {
         now: Millis(1),
         directory: &directory,
         own: &own,
         seeds: &[peer(100), peer(200)],
         resting: &HashSet::new(),
         is_busy: false,
-        is_ignorant: true,
+        lacks_configuration: true,
         is_young: true,
         is_lost: true,
     };
@@ -168,7 +168,7 @@
     assert!(contacts.iter().all(|contact| contact.relays_suffice));
     // One that was answered, and is a relay as far as it knows, asks a seed for
     // all while it is young.
-    let standing = Standing {
+    let standing = ContactPlanner {
         is_lost: false,
         ..standing
     };
@@ -184,7 +184,7 @@
     let position = directory.position();
     own.sequence = 2;
     own.report.as_mut().unwrap().running = 3;
-    directory.hear_daemon(Millis(1), own.clone(), 0);
+    directory.merge_daemon(Millis(1), own.clone(), 0);
     let with_news = |contacts: &[Contact]| {
         let news = contacts.iter().filter(|c| c.changed_at > position);
         news.map(|contact| contact.scope).collect::<Vec<_>>()
@@ -193,7 +193,7 @@
     // That a change of weights is due, all of them are told at once.
     own.sequence = 3;
     own.report.as_mut().unwrap().switching = true;
-    directory.hear_daemon(Millis(1), own.clone(), 0);
+    directory.merge_daemon(Millis(1), own.clone(), 0);
     assert_eq!(with_news(&contacts(&directory, &own, &[])).len(), 3);
 }
 
@@ -234,7 +234,7 @@
         ..daemon(number, hall, DaemonRole::Control)
     };
     for (number, hall) in [(150, "a"), (151, "a"), (250, "b"), (350, "c")] {
-        directory.hear_daemon(Millis(0), member(number, hall), 0);
+        directory.merge_daemon(Millis(0), member(number, hall), 0);
     }
     let contacts = contacts(&directory, &member(150, "a"), &[]);
     let relays = directory.relays(Millis(1), "a");
@@ -262,10 +262,10 @@
 fn an_agent_without_entries_in_its_hall_turns_to_other_halls() {
     let mut directory = Directory::new();
     for number in 200..208 {
-        directory.hear_daemon(Millis(0), daemon(number, "b", DaemonRole::Entry), 0);
+        directory.merge_daemon(Millis(0), daemon(number, "b", DaemonRole::Entry), 0);
     }
     let own = daemon(110, "a", DaemonRole::Agent);
-    directory.hear_daemon(Millis(0), own.clone(), 0);
+    directory.merge_daemon(Millis(0), own.clone(), 0);
     let contacts = contacts(&directory, &own, &[]);
     assert_eq!(contacts.len(), 2);
     assert_eq!(asked(&contacts).len(), 1);
@@ -282,7 +282,7 @@
     map.set(5, true);
     own.pieces = vec![map];
     own.sequence = 2;
-    directory.hear_daemon(Millis(1), own.clone(), 0);
+    directory.merge_daemon(Millis(1), own.clone(), 0);
     let fetching = contacts(&directory, &own, &[]);
     assert!(every(&fetching) < every(&at_rest));
     assert_eq!(fetching.len(), at_rest.len());
@@ -298,7 +298,7 @@
         ..EngineReport::default()
     });
     own.sequence = 3;
-    directory.hear_daemon(Millis(1), own.clone(), 0);
+    directory.merge_daemon(Millis(1), own.clone(), 0);
     let done = contacts(&directory, &own, &[]);
     assert_eq!(every(&done), every(&at_rest));
 }
--- a/crates/moleroad_membership/tests/support/mod.rs
+++ b/crates/moleroad_membership/tests/support/mod.rs
@@ -6,7 +6,7 @@
 mod records;
 
 use moleroad_directory::prelude::*;
-use moleroad_membership::contacts::LONG_SILENT_MS;
+use moleroad_membership::contacts::ISOLATION_TIMEOUT_MS;
 use moleroad_membership::prelude::*;
 use moleroad_types::prelude::*;
 use rand::rngs::SmallRng;
@@ -56,7 +56,7 @@
 struct Daemon {
     own: DaemonRecord,
     directory: Directory,
-    greeted: Greeted,
+    greeted: GossipState,
     link: u64,
     link_free_us: u64,
     is_busy: bool,
@@ -67,14 +67,14 @@
     from: usize,
     to: usize,
     contact: Contact,
-    before: Told,
-    next: Told,
+    before: PeerState,
+    next: PeerState,
     asked_at_us: u64,
 }
 
 enum Event {
     Look(usize),
-    Asked(Box<(Greeting, Speaker, Question)>),
+    Asked(Box<(Greeting, CallerUpdate, DeltaRequest)>),
     Answered(Box<(Greeting, Answered, News)>),
     Late(Box<Greeting>),
 }
@@ -210,7 +210,7 @@
             let entry = number % (self.daemons.len() / 9) * 9 % self.halls;
             self.daemons[entry]
                 .directory
-                .hear_target(Millis(0), target, 0);
+                .merge_target(Millis(0), target, 0);
         }
     }
 
@@ -230,17 +230,17 @@
         let seeds = self.seeds.clone();
         let daemon = &mut self.daemons[number];
         let own = daemon.own.clone();
-        daemon.directory.hear_daemon(now, own, 0);
-        let standing = Standing {
+        daemon.directory.merge_daemon(now, own, 0);
+        let standing = ContactPlanner {
             now,
             directory: &daemon.directory,
             own: &daemon.own,
             seeds: &seeds,
             resting: &daemon.greeted.resting(now),
             is_busy: daemon.is_busy,
-            is_ignorant: false,
+            lacks_configuration: false,
             is_young: now.0 < YOUNG_MS,
-            is_lost: daemon.greeted.silent_ms(now) >= LONG_SILENT_MS,
+            is_lost: daemon.greeted.silent_ms(now) >= ISOLATION_TIMEOUT_MS,
         };
         let due = daemon.greeted.due(now, standing.contacts(), None);
         for contact in due {
@@ -279,7 +279,7 @@
         let before = daemon.greeted.told(contact.address);
         let mut next = before;
         let question = next.question(now, &contact);
-        let speaker = Speaker::since(&daemon.directory, &daemon.own, before.position);
+        let speaker = CallerUpdate::since(&daemon.directory, &daemon.own, before.position);
         next.at = now.0;
         next.position = daemon.directory.position();
         let greeting = Greeting {
@@ -296,16 +296,18 @@
         self.schedule(arrives_us, asked);
     }
 
-    fn asked(&mut self, (greeting, speaker, question): (Greeting, Speaker, Question)) {
+    fn asked(&mut self, (greeting, speaker, question): (Greeting, CallerUpdate, DeltaRequest)) {
         let now = self.now();
         let callee = &mut self.daemons[greeting.to];
         callee.traffic.answered += 1;
         let own = callee.own.clone();
         let caller = speaker.take(&mut callee.directory, now, &own);
         if question.scope != Scope::CalleesHall {
-            callee.directory.note_first_hand(now, &caller.instance);
+            callee
+                .directory
+                .record_direct_contact(now, &caller.instance);
         }
-        callee.directory.hear_daemon(now, own.clone(), 0);
+        callee.directory.merge_daemon(now, own.clone(), 0);
         let news =
             callee
                 .directory
@@ -338,9 +340,9 @@
             .answered(now, &contact, greeting.next, answered);
         let slots = daemon.greeted.slots(contact.address);
         let own = &daemon.own.instance;
-        let taken = daemon.directory.take_news(now, own, news, slots);
+        let taken = daemon.directory.apply_delta(now, own, news, slots);
         if !taken.is_complete {
-            daemon.greeted.forget_cursor(contact.address);
+            daemon.greeted.reset_cursor(contact.address);
         }
     }
 
@@ -374,7 +376,7 @@
     Daemon {
         own: record(number, halls),
         directory: Directory::new(),
-        greeted: Greeted::default(),
+        greeted: GossipState::default(),
         link: if number < SEEDS { SEED_LINK } else { LINK },
         link_free_us: 0,
         is_busy: false,
