--- a/crates/moleroad_gateway/src/acquire.rs
+++ b/crates/moleroad_gateway/src/acquire.rs
@@ -31,7 +31,7 @@
 
 /// What was believed of a target when a place there was taken.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Belief {
+pub struct LoadEstimate {
     /// Requests in flight there.
     pub requests: f64,
     /// Prompt tokens that it had not read.
@@ -43,7 +43,7 @@
 /// A place at a target; given back when dropped.
 pub struct Place {
     /// What was believed of the target.
-    pub belief: Belief,
+    pub belief: LoadEstimate,
     node: Arc<Node>,
     service: String,
     /// The target.
@@ -93,7 +93,7 @@
     }
 
     /// Says that nothing went out after all.
-    pub fn was_not_sent(&mut self) {
+    pub fn clear_send(&mut self) {
         self.sent = None;
     }
 
@@ -209,7 +209,7 @@
         let granted = tokio::time::timeout_at(node.clock.instant(look), &mut in_queue.grant).await;
         // A place from here on, so that it is given back if the caller leaves.
         let granted = granted.ok().and_then(Result::ok).map(place);
-        node.hear_after_standstill().await;
+        node.catch_up_after_suspension().await;
         let residency = node.view().residency(&in_queue.ask.residency);
         in_queue.ask.residency = residency;
         if let Some(place) = granted {
@@ -268,18 +268,18 @@
     })
 }
 
-fn belief(node: &Node, ask: &Ask, candidate: &Candidate) -> Belief {
+fn belief(node: &Node, ask: &Ask, candidate: &Candidate) -> LoadEstimate {
     let now = node.clock.now();
     let view = node.view();
     let Some(places) = view.services.get(&ask.service) else {
-        return Belief::default();
+        return LoadEstimate::default();
     };
     let load = places.targets.load(&candidate.id);
     let usual = places
         .targets
         .reading
         .map_or(0.0, |reading| reading.usual_prompt);
-    Belief {
+    LoadEstimate {
         requests: load.requests(now),
         unread_tokens: load.unread_tokens(now, usual),
         report_age_ms: load.report_age(now),
--- a/crates/moleroad_gateway/src/agent/bring.rs
+++ b/crates/moleroad_gateway/src/agent/bring.rs
@@ -98,7 +98,7 @@
 /// hold no weights: pieces are fetched meanwhile. Only engines of the first
 /// start of a system hold weights when they begin.
 fn was_read_or_begins(node: &Node) -> bool {
-    if node.view().engine_was_read {
+    if node.view().engine_was_polled {
         return true;
     }
     let is_silent = node.clock.now().since(node.began_at) >= BEGINS_AFTER_MS;
@@ -184,7 +184,7 @@
         version: named
             .and_then(|named| named.newest())
             .unwrap_or(FIRST_VERSION),
-        named_at: named.and_then(|named| named.waiting_since(held.unwrap_or(0))),
+        named_at: named.and_then(|named| named.superseded_at(held.unwrap_or(0))),
     })
 }
 
--- a/crates/moleroad_gateway/src/agent/calls.rs
+++ b/crates/moleroad_gateway/src/agent/calls.rs
@@ -27,7 +27,7 @@
     timeout: Duration,
 ) -> Option<(StatusCode, Bytes)> {
     loop {
-        let left = Duration::from_millis(node.rest_left_ms(address));
+        let left = Duration::from_millis(node.backoff_left_ms(address));
         if left.is_zero() {
             break;
         }
@@ -64,7 +64,7 @@
     outside: OutsideCall,
     timeout: Duration,
 ) -> Option<(StatusCode, Bytes)> {
-    if node.rest_left_ms(address) > 0 {
+    if node.backoff_left_ms(address) > 0 {
         return None;
     }
     let calling = async {
@@ -104,7 +104,7 @@
     let answerer = node.answerer_at(address);
     let response = connection.sender.send_request(message).await.ok()?;
     let (head, body) = response.into_parts();
-    node.take_notice(AnswerHead {
+    node.apply_notice(AnswerHead {
         from: answerer,
         request: "-",
         sent_at: None,
--- a/crates/moleroad_gateway/src/agent/digests.rs
+++ b/crates/moleroad_gateway/src/agent/digests.rs
@@ -27,7 +27,7 @@
     origin_pause: &mut Backoff,
 ) -> Option<PieceDigests> {
     let model = &wanted.model.model;
-    if let Some(digests) = node.known_digests(model, wanted.version) {
+    if let Some(digests) = node.cached_digests(model, wanted.version) {
         return piece_digests(wanted, SharedDigests(digests));
     }
     let (holders, is_own_turn, origins) = digest_sources(node, wanted, idle_ms);
@@ -88,7 +88,7 @@
 /// Keeps digests that are news and passes them on.
 fn learned(node: &Arc<Node>, wanted: &Wanted, shared: SharedDigests) -> Option<PieceDigests> {
     let digests = piece_digests(wanted, shared)?;
-    node.remember_digests(&wanted.model.model, &digests);
+    node.cache_digests(&wanted.model.model, &digests);
     let spread = Arc::new(spread_of(node, wanted));
     let offer = Offer::Digests(SharedDigests(digests.digests.clone()));
     offers::pass_on(node, &spread, wanted, offer);
--- a/crates/moleroad_gateway/src/agent/offers.rs
+++ b/crates/moleroad_gateway/src/agent/offers.rs
@@ -112,7 +112,7 @@
 
 /// Keeps digests and passes them on, if they are news.
 fn take_digests(node: &Arc<Node>, model: CatalogModel, version: u64, shared: SharedDigests) {
-    if node.known_digests(&model.model, version).is_some() {
+    if node.cached_digests(&model.model, version).is_some() {
         return;
     }
     let wanted = Wanted {
@@ -121,7 +121,7 @@
         named_at: None,
     };
     if let Some(digests) = piece_digests(&wanted, shared) {
-        node.remember_digests(&wanted.model.model, &digests);
+        node.cache_digests(&wanted.model.model, &digests);
         let spread = Arc::new(spread_of(node, &wanted));
         let offer = Offer::Digests(SharedDigests(digests.digests));
         pass_on(node, &spread, &wanted, offer);
--- a/crates/moleroad_gateway/src/agent/overtaken.rs
+++ b/crates/moleroad_gateway/src/agent/overtaken.rs
@@ -4,7 +4,7 @@
 use crate::agent::digests::fellows;
 use crate::agent::fetch::Fetch;
 use crate::agent::offers::offers;
-use crate::view::leaves_older_after_ms;
+use crate::view::older_version_cutoff_ms;
 use moleroad_directory::prelude::DaemonRecord;
 use moleroad_rollout::prelude::SupersededFetch;
 
@@ -50,8 +50,8 @@
         let unreleased = missing.iter().filter(|piece| !is_out(piece)).count() as u32;
         let named = view.named.get(&model.model);
         let newer = named.map_or(0, |named| named.versions().filter(|v| *v > version).count());
-        let newest_named_at = named.and_then(|named| named.waiting_since(version));
-        let usable_for_ms = leaves_older_after_ms(self.node.settings.bounds.version_ms);
+        let newest_named_at = named.and_then(|named| named.superseded_at(version));
+        let usable_for_ms = older_version_cutoff_ms(self.node.settings.bounds.version_ms);
         SupersededFetch {
             pieces: model.pieces,
             missing: missing.len() as u32,
--- a/crates/moleroad_gateway/src/agent/watch.rs
+++ b/crates/moleroad_gateway/src/agent/watch.rs
@@ -35,7 +35,7 @@
         let rests = node
             .settings
             .engine
-            .is_some_and(|engine| node.rest_left_ms(engine) > 0);
+            .is_some_and(|engine| node.backoff_left_ms(engine) > 0);
         let read = read_within(&node, timeout).await;
         node.cold_engine.note_alive(node.clock.now());
         match read {
@@ -69,7 +69,7 @@
         engine_age_ms: cold.age_ms,
         cold_left_ms: cold.left_ms,
         grants_free: cold.grants,
-        limit_grants_free: node.limit_grants.least_free(node.clock.now()),
+        limit_grants_free: node.limit_grants.min_available(node.clock.now()),
     })
 }
 
@@ -98,7 +98,7 @@
 
 async fn read_within(node: &Node, timeout: Duration) -> Option<EngineState> {
     let engine = node.settings.engine?;
-    if node.rest_left_ms(engine) > 0 {
+    if node.backoff_left_ms(engine) > 0 {
         return None;
     }
     let (status, body) = call(node, engine, node.interface.ask_state(), timeout).await?;
@@ -121,11 +121,11 @@
         ..report
     });
     // Engines that found the system with their agents are not cold.
-    let is_founding = node.settings.found_group && !view.engine_was_read;
+    let is_founding = node.settings.found_group && !view.engine_was_polled;
     if view.own.report.is_none() && report.is_some() && !is_founding {
         node.cold_engine.engine_began(node.clock.now());
     }
-    view.engine_was_read |= report.is_some();
+    view.engine_was_polled |= report.is_some();
     if view.own.report != report {
         note_engine(view.own.report.as_ref(), report.as_ref());
         view.own.report = report;
--- a/crates/moleroad_gateway/src/core/member.rs
+++ b/crates/moleroad_gateway/src/core/member.rs
@@ -3,7 +3,7 @@
 use super::{Committed, CoreInput, CoreOutput, CoreSettings, TIMING};
 use crate::clock::Clock;
 use crate::control_state::{ControlCommand, ControlState};
-use crate::evacuations::HallOutcome;
+use crate::evacuations::HallOrderOutcome;
 use moleroad_consensus::prelude::*;
 use moleroad_types::prelude::{Millis, Term};
 use std::collections::BTreeMap;
@@ -251,7 +251,7 @@
             return (is_change, Committed::Yes(state.document_id()));
         };
         let verdict = state.evacuations.carry_out(order);
-        let is_change = verdict.outcome == HallOutcome::Changed;
+        let is_change = verdict.outcome == HallOrderOutcome::Changed;
         (is_change, Committed::Hall(verdict))
     }
 
--- a/crates/moleroad_gateway/src/core/mod.rs
+++ b/crates/moleroad_gateway/src/core/mod.rs
@@ -5,7 +5,7 @@
 
 use crate::clock::Clock;
 use crate::control_state::{ControlCommand, ControlState, DocumentId};
-use crate::evacuations::HallVerdict;
+use crate::evacuations::HallOrderResult;
 use member::{Member, open};
 use moleroad_consensus::prelude::*;
 use moleroad_types::prelude::Term;
@@ -31,7 +31,7 @@
     /// which configuration is in force with it.
     Yes(Option<DocumentId>),
     /// An order for a hall is; this is what it came to.
-    Hall(HallVerdict),
+    Hall(HallOrderResult),
     /// This member does not lead; the leader, if it is known.
     NotLeader(Option<MemberInfo>),
     /// It may or may not come to be.
--- a/crates/moleroad_gateway/src/evacuations.rs
+++ b/crates/moleroad_gateway/src/evacuations.rs
@@ -36,7 +36,7 @@
 
 /// What an order came to in the order of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum HallOutcome {
+pub enum HallOrderOutcome {
     /// The hall changed.
     Changed,
     /// It was in that state before.
@@ -45,18 +45,18 @@
     Overtaken,
 }
 
-impl HallOutcome {
+impl HallOrderOutcome {
     /// Whether the hall now is as the operator wants.
     pub fn is_as_wanted(self) -> bool {
-        self != HallOutcome::Overtaken
+        self != HallOrderOutcome::Overtaken
     }
 }
 
 /// What an order came to, and the state of the hall right after it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HallVerdict {
+pub struct HallOrderResult {
     /// What the order came to.
-    pub outcome: HallOutcome,
+    pub outcome: HallOrderOutcome,
     /// The state of its hall.
     pub state: HallState,
 }
@@ -78,23 +78,23 @@
     }
 
     /// Carries out an order.
-    pub fn carry_out(&mut self, order: &HallOrder) -> HallVerdict {
+    pub fn carry_out(&mut self, order: &HallOrder) -> HallOrderResult {
         let held = self.of(&order.hall);
         // Daemons may know more than a group that lost more disks than it bears.
         let is_forgotten = order.based_on > held.revision;
         let outcome = if held.evacuated == order.evacuated && !is_forgotten {
-            HallOutcome::AlreadySo
+            HallOrderOutcome::AlreadySo
         } else if held.revision > order.based_on {
-            HallOutcome::Overtaken
+            HallOrderOutcome::Overtaken
         } else {
             let state = HallState {
                 revision: HallRevision(order.based_on.0 + 1),
                 evacuated: order.evacuated,
             };
             self.0.insert(order.hall.clone(), state);
-            HallOutcome::Changed
+            HallOrderOutcome::Changed
         };
-        HallVerdict {
+        HallOrderResult {
             outcome,
             state: self.of(&order.hall),
         }
--- a/crates/moleroad_gateway/src/front/attempt.rs
+++ b/crates/moleroad_gateway/src/front/attempt.rs
@@ -1,7 +1,7 @@
 //! Sending a request until it has an answer, within its time, its number of
 //! targets and the budget of repeats.
 
-use crate::acquire::{Belief, Place};
+use crate::acquire::{LoadEstimate, Place};
 use crate::front::breaks::Progress;
 use crate::front::exchange::{self, Reply, SendError, Verdict};
 use crate::front::give_up::GiveUp;
@@ -47,7 +47,7 @@
     /// How long the request had waited for this place, in milliseconds.
     pub waited_ms: u64,
     /// What was believed of the target.
-    pub belief: Belief,
+    pub belief: LoadEstimate,
     /// Version of its weights; 0 for plain targets.
     pub weights: u64,
 }
@@ -119,7 +119,7 @@
             let sent = self.send(&place, least, last_event).await;
             self.log_send(&place, &sent);
             if sent.as_ref().is_err_and(|error| error.is_not_sent()) {
-                place.was_not_sent();
+                place.clear_send();
             }
             match sent {
                 Err(SendError::Unreachable) => {
--- a/crates/moleroad_gateway/src/front/exchange.rs
+++ b/crates/moleroad_gateway/src/front/exchange.rs
@@ -109,7 +109,7 @@
             }
         };
         // It may have stood still while it chose or connected.
-        let heard = tokio::time::timeout_at(limit, node.hear_after_standstill()).await;
+        let heard = tokio::time::timeout_at(limit, node.catch_up_after_suspension()).await;
         if heard.is_err() {
             node.pool.give_back_unused(connection);
             return Err(SendError::Lapsed);
@@ -129,7 +129,7 @@
             Err(_) => return Err(SendError::TimedOut),
             Ok(Ok(response)) => {
                 // Also where the answer is another request's: the target made it.
-                node.take_notice(AnswerHead {
+                node.apply_notice(AnswerHead {
                     from: place.answerer(),
                     request: request.id.to_str().unwrap_or("-"),
                     sent_at: is_answer_to(node, request, response.headers()).then_some(sent_at),
--- a/crates/moleroad_gateway/src/front/serve.rs
+++ b/crates/moleroad_gateway/src/front/serve.rs
@@ -63,7 +63,7 @@
 
 async fn handle(node: Arc<Node>, message: Request<Incoming>) -> Result<Answer, Infallible> {
     let _counted = InFlight::new(&node);
-    node.requests_since.fetch_add(1, Ordering::Relaxed);
+    node.unmeasured_requests.fetch_add(1, Ordering::Relaxed);
     let arrived = node.clock.now();
     let id = message.headers().get(&node.interface.headers().request_id);
     let id = id.cloned();
@@ -72,7 +72,7 @@
     let mut description = None;
     let mut answer = match result {
         Err(own) => own.response(own_retry_after(own)),
-        Ok(_) if node.is_ending() => OwnAnswer::Leaving.response(Some(0)),
+        Ok(_) if node.requests_stopped() => OwnAnswer::Leaving.response(Some(0)),
         Ok(mut accepted) => {
             accepted.is_trial = trial::is_granted(&node, &accepted).await;
             description = Some(Description::of(&accepted));
--- a/crates/moleroad_gateway/src/front/waiting.rs
+++ b/crates/moleroad_gateway/src/front/waiting.rs
@@ -28,7 +28,7 @@
     /// # Errors
     /// [`GiveUp`] says why none is made.
     pub(super) async fn next_place(&mut self) -> Result<Place, GiveUp> {
-        self.node.hear_after_standstill().await;
+        self.node.catch_up_after_suspension().await;
         let now = self.node.clock.now();
         if now + LEAST_USEFUL_MS > self.request.until {
             return Err(GiveUp::TimeOver);
@@ -46,7 +46,7 @@
         let ask = self.ask();
         let is_first = self.sends.is_first();
         if is_first && self.unreachable == 0 {
-            self.node.note_kept_away(&ask);
+            self.node.count_diversions(&ask);
         }
         let in_time = self.acquire_judged(&ask).await;
         let lacks_room = |no_place: &NoPlace| no_place.cause == NoPlaceCause::Busy;
@@ -75,7 +75,11 @@
         if !matches!(&first, Err(no_place) if no_place.cause == NoPlaceCause::Quarantined) {
             return first;
         }
-        if self.node.hear_verdict(&ask.fingerprint, ask.until).await {
+        if self
+            .node
+            .wait_for_hold_decision(&ask.fingerprint, ask.until)
+            .await
+        {
             return first;
         }
         acquire(&self.node, ask).await
--- a/crates/moleroad_gateway/src/greeting/answer.rs
+++ b/crates/moleroad_gateway/src/greeting/answer.rs
@@ -2,7 +2,7 @@
 
 use crate::core::CoreInput;
 use crate::greeting::take;
-use crate::halls::{HallsNews, Source};
+use crate::halls::{HallUpdates, Source};
 use crate::node::Node;
 use crate::peer::{Hello, HelloAnswer};
 use moleroad_directory::prelude::*;
@@ -12,7 +12,7 @@
 pub fn answer(node: &Arc<Node>, hello: Hello) -> HelloAnswer {
     let now = node.clock.now();
     node.take_halls(&hello.halls, Source::Greeting);
-    node.hear_ends(hello.ends);
+    node.receive_target_ends(hello.ends);
     if let (Some(core), Some(member)) = (&node.core, hello.member) {
         core.tell(CoreInput::Spare(member));
     }
@@ -31,7 +31,7 @@
         let change = view.directory.merge_target(now, aged.record, aged.age_ms);
         changed |= change == TargetChange::Changed;
     }
-    view.take_leader(hello.leader);
+    view.update_leader(hello.leader);
     let record = view.directory.daemon(&caller.instance);
     let peer = record.map(|heard| heard.record.peer);
     let is_agent = record.is_some_and(|heard| heard.record.role == DaemonRole::Agent);
@@ -61,14 +61,14 @@
         },
         leader: view.leader,
         catalog: tells_catalog.then(|| view.catalog.clone()),
-        halls: if view.knows_no_more_of_halls(&hello.halls) {
-            HallsNews::new()
+        halls: if view.has_no_newer_halls_than(&hello.halls) {
+            HallUpdates::new()
         } else {
-            view.halls_news(now)
+            view.hall_updates(now)
         },
     };
     let is_behind = !is_agent && hello.config_version > view.state.config_version();
-    let differs = view.holds_other_document(hello.config_version, hello.config_digest);
+    let differs = view.has_conflicting_document(hello.config_version, hello.config_digest);
     drop(view);
     if node.settings.role.knows_all() {
         take::put_to_use(node, changed);
--- a/crates/moleroad_gateway/src/greeting/hello.rs
+++ b/crates/moleroad_gateway/src/greeting/hello.rs
@@ -17,7 +17,7 @@
     };
     let targets = view.directory.targets().filter(called);
     let targets = targets.map(|heard| heard.aged(now)).collect();
-    let (ends, ends_position) = view.ends_to_tell(now, told.ends_position);
+    let (ends, ends_position) = view.target_ends_since(now, told.ends_position);
     let mut next = told;
     let question = next.question(now, contact);
     let hello = Hello {
@@ -30,7 +30,7 @@
         targets,
         question,
         catalog_digest: view.catalog.digest(),
-        halls: view.halls_news(now),
+        halls: view.hall_updates(now),
         ends,
         ends_after: node.settings.role.knows_all().then_some(told.ends_cursor),
     };
--- a/crates/moleroad_gateway/src/greeting/mod.rs
+++ b/crates/moleroad_gateway/src/greeting/mod.rs
@@ -114,7 +114,7 @@
     }
     let differs = node
         .view()
-        .holds_other_document(config_version, config_digest);
+        .has_conflicting_document(config_version, config_digest);
     if differs {
         settle(&node).await;
     }
@@ -145,7 +145,7 @@
 ) {
     let now = node.clock.now();
     node.take_halls(&answer.halls, Source::Greeting);
-    node.hear_ends(answer.ends);
+    node.receive_target_ends(answer.ends);
     let answered = Answered {
         unknown_caller: answer.unknown_caller,
         cursor: answer.news.cursor,
@@ -181,7 +181,7 @@
             );
             view.catalog = catalog;
         }
-        view.take_leader(answer.leader);
+        view.update_leader(answer.leader);
         taken
     };
     if node.settings.role.knows_all() {
--- a/crates/moleroad_gateway/src/greeting/take.rs
+++ b/crates/moleroad_gateway/src/greeting/take.rs
@@ -1,7 +1,7 @@
 //! Putting to use what other daemons say.
 
 use crate::node::Node;
-use crate::target_news;
+use crate::target_updates;
 use crate::view::View;
 use moleroad_types::prelude::{InstanceId, Millis};
 
@@ -27,7 +27,7 @@
 /// may get requests may be others.
 pub fn put_to_use(node: &Node, changed: bool) {
     if changed {
-        target_news::applied(node);
+        target_updates::applied(node);
     } else {
         node.serve_waiting();
     }
--- a/crates/moleroad_gateway/src/hall_orders.rs
+++ b/crates/moleroad_gateway/src/hall_orders.rs
@@ -1,7 +1,7 @@
 //! An operator's order to evacuate a data hall or to take it back, from the
 //! call to what the control group made of it.
 
-use crate::evacuations::{HallOrder, HallOutcome, HallState};
+use crate::evacuations::{HallOrder, HallOrderOutcome, HallState};
 use crate::node::Node;
 use crate::operator;
 use hyper::StatusCode;
@@ -79,7 +79,9 @@
     };
     match operator::order_hall(node, order).await {
         None => Err(HallError::Unreachable),
-        Some(verdict) if verdict.outcome == HallOutcome::Overtaken => Err(HallError::Overtaken),
+        Some(verdict) if verdict.outcome == HallOrderOutcome::Overtaken => {
+            Err(HallError::Overtaken)
+        }
         Some(verdict) => Ok(verdict.state),
     }
 }
--- a/crates/moleroad_gateway/src/hall_news.rs
+++ b/crates/moleroad_gateway/src/hall_updates.rs
@@ -1,13 +1,13 @@
 //! News of halls, put to use and told to whoever runs the system.
 
-use crate::halls::{HallChange, HallNews, HallsNews, Source};
+use crate::halls::{HallChange, HallUpdate, HallUpdates, Source};
 use crate::node::Node;
 use crate::places::Ask;
 
 impl Node {
     /// Learns of evacuated halls; true if anything was news. Requests go by it
     /// from then on.
-    pub fn take_halls(&self, news: &HallsNews, source: Source) -> bool {
+    pub fn take_halls(&self, news: &HallUpdates, source: Source) -> bool {
         let now = self.clock.now();
         let changes = {
             let mut view = self.view();
@@ -27,7 +27,7 @@
     }
 
     fn note_hall_change(&self, change: &HallChange, source: Source) {
-        let HallNews { state, age_ms } = change.news;
+        let HallUpdate { state, age_ms } = change.news;
         let hall = change.hall.as_str();
         log::info!(
             event = "hall_in_force",
@@ -49,12 +49,12 @@
 
     /// Counts a request that may not go to targets of evacuated halls; the first
     /// of each hall is logged, and how many there were when it is taken back.
-    pub fn note_kept_away(&self, ask: &Ask) {
+    pub fn count_diversions(&self, ask: &Ask) {
         let now = self.clock.now();
         let kept_away = {
             let mut view = self.view();
             let least = self.least_version(&view, &ask.service);
-            view.note_kept_away(&ask.service, ask.needs(now, least))
+            view.count_diversions(&ask.service, ask.needs(now, least))
         };
         for hall in &kept_away.halls {
             self.metrics.kept_away.with_label_values(&[hall]).inc();
--- a/crates/moleroad_gateway/src/halls.rs
+++ b/crates/moleroad_gateway/src/halls.rs
@@ -10,7 +10,7 @@
 
 /// The state of a hall and how long ago it changed, as daemons tell each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HallNews {
+pub struct HallUpdate {
     /// Its state.
     pub state: HallState,
     /// How long ago it changed, as far as known, in milliseconds.
@@ -18,12 +18,12 @@
 }
 
 /// News of halls by their names.
-pub type HallsNews = BTreeMap<String, HallNews>;
+pub type HallUpdates = BTreeMap<String, HallUpdate>;
 
 /// What is in force, as news of this moment.
-pub fn news_of(evacuations: &Evacuations) -> HallsNews {
+pub fn news_of(evacuations: &Evacuations) -> HallUpdates {
     let fresh =
-        |(hall, state): (&str, HallState)| (hall.to_string(), HallNews { state, age_ms: 0 });
+        |(hall, state): (&str, HallState)| (hall.to_string(), HallUpdate { state, age_ms: 0 });
     evacuations.iter().map(fresh).collect()
 }
 
@@ -48,7 +48,7 @@
     /// The hall.
     pub hall: String,
     /// Its new state and its age.
-    pub news: HallNews,
+    pub news: HallUpdate,
     /// Requests that were kept away from it until now.
     pub kept_away: u64,
 }
@@ -83,7 +83,7 @@
     }
 
     /// Learns the states of halls; returns those that are news.
-    pub fn learn_halls(&mut self, now: Millis, news: &HallsNews) -> Vec<HallChange> {
+    pub fn learn_halls(&mut self, now: Millis, news: &HallUpdates) -> Vec<HallChange> {
         let mut changes = Vec::new();
         for (hall, news) in news {
             let is_new = self.state.evacuations.take(hall, news.state);
@@ -105,17 +105,17 @@
     }
 
     /// The states of halls and their ages, for another daemon.
-    pub fn halls_news(&self, now: Millis) -> HallsNews {
+    pub fn hall_updates(&self, now: Millis) -> HallUpdates {
         let aged = |(hall, state): (&str, HallState)| {
             let at = self.halls.changed_at.get(hall).copied();
             let age_ms = at.map_or(0, |at| now.since(at));
-            (hall.to_string(), HallNews { state, age_ms })
+            (hall.to_string(), HallUpdate { state, age_ms })
         };
         self.state.evacuations.iter().map(aged).collect()
     }
 
     /// Whether `news` tells all that is known here of halls.
-    pub fn knows_no_more_of_halls(&self, news: &HallsNews) -> bool {
+    pub fn has_no_newer_halls_than(&self, news: &HallUpdates) -> bool {
         let is_known = |(hall, state): (&str, HallState)| {
             news.get(hall)
                 .is_some_and(|news| news.state.revision >= state.revision)
@@ -125,7 +125,7 @@
 
     /// Counts a request of `service` for the evacuated halls that it is kept
     /// away from.
-    pub fn note_kept_away(&mut self, service: &str, needs: Requirements<'_>) -> KeptAway {
+    pub fn count_diversions(&mut self, service: &str, needs: Requirements<'_>) -> KeptAway {
         let mut kept_away = KeptAway::default();
         let any = self
             .state
--- a/crates/moleroad_gateway/src/limit_grants.rs
+++ b/crates/moleroad_gateway/src/limit_grants.rs
@@ -28,7 +28,7 @@
 
     /// Grants that can be given now for the target with the fewest; `None` before any
     /// was asked for.
-    pub fn least_free(&self, now: Millis) -> Option<u32> {
+    pub fn min_available(&self, now: Millis) -> Option<u32> {
         let mut buckets = self.lock();
         buckets.values_mut().map(|bucket| bucket.free(now)).min()
     }
--- a/crates/moleroad_gateway/src/named_versions.rs
+++ b/crates/moleroad_gateway/src/named_versions.rs
@@ -42,7 +42,7 @@
     }
 
     /// When the first version after `held` was named.
-    pub fn waiting_since(&self, held: u64) -> Option<Millis> {
+    pub fn superseded_at(&self, held: u64) -> Option<Millis> {
         let later = self.times.range(held + 1..);
         later.map(|(_, at)| *at).min()
     }
--- a/crates/moleroad_gateway/src/node.rs
+++ b/crates/moleroad_gateway/src/node.rs
@@ -60,7 +60,7 @@
     /// Wakes a fetch when something was offered.
     pub offered: Notify,
     /// Requests that came since demand was last measured.
-    pub requests_since: AtomicUsize,
+    pub unmeasured_requests: AtomicUsize,
     /// Requests that are being answered.
     pub in_flight: AtomicUsize,
     seeds: Mutex<Vec<SocketAddr>>,
@@ -102,7 +102,7 @@
             pieces: Mutex::default(),
             offers: Mutex::default(),
             offered: Notify::new(),
-            requests_since: AtomicUsize::new(0),
+            unmeasured_requests: AtomicUsize::new(0),
             in_flight: AtomicUsize::new(0),
             seeds: Mutex::new(settings.seed_peers()),
             digests: Mutex::default(),
@@ -142,14 +142,14 @@
 
     /// Waits until this process heard what happened while it stood still or was
     /// off, if it did or was.
-    pub async fn hear_after_standstill(&self) {
+    pub async fn catch_up_after_suspension(&self) {
         while self.standstill().waits_for_news(self.clock.now()) {
             tokio::time::sleep(NEWS_LOOK).await;
         }
     }
 
     /// Digests of a version, if this agent knows them.
-    pub fn known_digests(&self, model: &str, version: u64) -> Option<Vec<[u8; 32]>> {
+    pub fn cached_digests(&self, model: &str, version: u64) -> Option<Vec<[u8; 32]>> {
         let known = self
             .digests
             .lock()
@@ -160,7 +160,7 @@
     }
 
     /// Remembers the digests of a version, and forgets those of the oldest.
-    pub fn remember_digests(&self, model: &str, digests: &PieceDigests) {
+    pub fn cache_digests(&self, model: &str, digests: &PieceDigests) {
         let known = self.digests.lock();
         let mut known = known.unwrap_or_else(|error| error.into_inner());
         if !known
@@ -188,7 +188,7 @@
 
     /// Measures demand over the last `span_ms` and tells others of it.
     pub fn measure_demand(&self, span_ms: u64) {
-        let requests = self.requests_since.swap(0, Ordering::Relaxed);
+        let requests = self.unmeasured_requests.swap(0, Ordering::Relaxed);
         let per_s = requests as f32 * 1_000.0 / span_ms.max(1) as f32;
         let mut view = self.view();
         view.demand_per_s += (per_s - view.demand_per_s) * DEMAND_WEIGHT;
@@ -217,7 +217,7 @@
     }
 
     /// Whether requests are no longer begun because the process ends soon.
-    pub fn is_ending(&self) -> bool {
+    pub fn requests_stopped(&self) -> bool {
         self.ending.load(Ordering::Relaxed)
     }
 
@@ -229,12 +229,12 @@
     /// Takes no new callers from now on.
     pub fn leave(&self) {
         self.leaving.store(true, Ordering::Relaxed);
-        self.set_own_state();
+        self.update_own_record();
         self.news.notify_waiters();
     }
 
     /// Brings what this daemon tells of itself up to date.
-    pub fn set_own_state(&self) {
+    pub fn update_own_record(&self) {
         let mut view = self.view();
         let ready = self.settings.role == RoleSetting::Agent || view.table.is_some();
         let state = if self.is_leaving() {
@@ -270,7 +270,7 @@
             changed
         };
         if changed {
-            self.set_own_state();
+            self.update_own_record();
             self.serve_waiting();
         }
         changed | halls_changed
@@ -278,7 +278,7 @@
 
     /// Takes what the leader reads out of the log, also where another document is held
     /// here under its version; true if anything changed.
-    pub fn take_decided(&self, decided: &ControlState) -> bool {
+    pub fn merge_committed(&self, decided: &ControlState) -> bool {
         let is_twin = {
             let mut view = self.view();
             let is_twin = view.state.holds_twin_of(decided);
@@ -346,12 +346,12 @@
     }
 
     /// Whether what is in force includes `command`.
-    pub fn has_in_force(&self, command: &ControlCommand) -> bool {
+    pub fn has_applied(&self, command: &ControlCommand) -> bool {
         self.view().state.includes(command)
     }
 
     /// Turns a member into a hint, with the newest term that is known.
-    pub fn hint_of(&self, member: Option<MemberInfo>) -> Option<LeaderHint> {
+    pub fn leader_hint_for(&self, member: Option<MemberInfo>) -> Option<LeaderHint> {
         let term = self.view().leader.map_or(0, |hint| hint.term);
         member.map(|member| LeaderHint {
             term,
--- a/crates/moleroad_gateway/src/operator.rs
+++ b/crates/moleroad_gateway/src/operator.rs
@@ -3,8 +3,8 @@
 
 use crate::control_state::{ControlCommand, ControlState, DocumentId};
 use crate::core::Committed;
-use crate::evacuations::{HallOrder, HallVerdict};
-use crate::halls::{HallNews, HallsNews, Source};
+use crate::evacuations::{HallOrder, HallOrderResult};
+use crate::halls::{HallUpdate, HallUpdates, Source};
 use crate::node::Node;
 use crate::peer::{CommitAnswer, LeaderHint};
 use moleroad_quarantine::prelude::TrialOrder;
@@ -25,7 +25,7 @@
 pub async fn commit(node: &Arc<Node>, command: ControlCommand) -> bool {
     let until = node.clock.now() + ANSWER_MS;
     let answer = order(node, &command, until).await;
-    if node.has_in_force(&command) {
+    if node.has_applied(&command) {
         return true;
     }
     let CommitAnswer::Committed(decided) = answer else {
@@ -33,7 +33,7 @@
     };
     if !is_decided(&command, decided) {
         // Only the group has the bytes of the document that was decided.
-        return read_until(node, until).await.is_some() && node.has_in_force(&command);
+        return read_until(node, until).await.is_some() && node.has_applied(&command);
     }
     // What is durable is in force here before it is acknowledged.
     let mut state = ControlState::default();
@@ -54,18 +54,18 @@
 
 /// Brings an order for a hall to the leader, and puts what it came to in force
 /// here; `None` when that is not known in time.
-pub async fn order_hall(node: &Arc<Node>, wanted: HallOrder) -> Option<HallVerdict> {
+pub async fn order_hall(node: &Arc<Node>, wanted: HallOrder) -> Option<HallOrderResult> {
     let hall = wanted.hall.clone();
     let command = ControlCommand::OrderHall(wanted);
     let until = node.clock.now() + ANSWER_MS;
     let CommitAnswer::Hall(verdict) = order(node, &command, until).await else {
         return None;
     };
-    let news = HallNews {
+    let news = HallUpdate {
         state: verdict.state,
         age_ms: 0,
     };
-    node.take_halls(&HallsNews::from([(hall, news)]), Source::Answer);
+    node.take_halls(&HallUpdates::from([(hall, news)]), Source::Answer);
     Some(verdict)
 }
 
@@ -84,7 +84,7 @@
 async fn order(node: &Arc<Node>, command: &ControlCommand, until: Millis) -> CommitAnswer {
     let mut next = None;
     loop {
-        if node.has_in_force(command) {
+        if node.has_applied(command) {
             return CommitAnswer::Committed(None);
         }
         let left = until.since(node.clock.now());
@@ -144,7 +144,7 @@
     match core.propose(command).await {
         Committed::Yes(decided) => CommitAnswer::Committed(decided),
         Committed::Hall(verdict) => CommitAnswer::Hall(verdict),
-        Committed::NotLeader(leader) => CommitAnswer::NotLeader(node.hint_of(leader)),
+        Committed::NotLeader(leader) => CommitAnswer::NotLeader(node.leader_hint_for(leader)),
         Committed::Unknown => CommitAnswer::Unknown,
     }
 }
@@ -169,7 +169,7 @@
         };
         match answer {
             Ok(state) => {
-                node.take_decided(&state);
+                node.merge_committed(&state);
                 return Some(state);
             }
             Err(hint) => {
@@ -208,7 +208,7 @@
     };
     match core.read().await {
         Ok(state) => Ok((*state).clone()),
-        Err(leader) => Err(node.hint_of(leader)),
+        Err(leader) => Err(node.leader_hint_for(leader)),
     }
 }
 
--- a/crates/moleroad_gateway/src/peer.rs
+++ b/crates/moleroad_gateway/src/peer.rs
@@ -1,8 +1,8 @@
 //! Calls between the daemons, over tarpc.
 
 use crate::control_state::{ControlCommand, ControlState, DocumentId};
-use crate::evacuations::HallVerdict;
-use crate::halls::HallsNews;
+use crate::evacuations::HallOrderResult;
+use crate::halls::HallUpdates;
 use moleroad_config::prelude::ConfigVersion;
 use moleroad_consensus::prelude::{MemberInfo, Message};
 use moleroad_directory::prelude::*;
@@ -45,7 +45,7 @@
     pub catalog_digest: u64,
     /// Halls that were ever evacuated, as it knows them.
     #[serde(default)]
-    pub halls: HallsNews,
+    pub halls: HallUpdates,
     /// Targets that ended under requests, of which it has not told the callee.
     #[serde(default)]
     pub ends: Vec<TerminationReport>,
@@ -161,7 +161,7 @@
     /// Halls that were ever evacuated, where the caller does not know all that
     /// the callee knows of them.
     #[serde(default)]
-    pub halls: HallsNews,
+    pub halls: HallUpdates,
     /// Targets that ended under requests, of which the callee has not told the
     /// caller.
     #[serde(default)]
@@ -186,7 +186,7 @@
     /// It may or may not come to be.
     Unknown,
     /// An order for a hall is durable and applied; this is what it came to.
-    Hall(HallVerdict),
+    Hall(HallOrderResult),
 }
 
 /// News of targets that entries must have at once.
--- a/crates/moleroad_gateway/src/peer_server.rs
+++ b/crates/moleroad_gateway/src/peer_server.rs
@@ -60,11 +60,11 @@
     }
 
     async fn targets(self, _: Context, news: Vec<TargetNews>) {
-        crate::target_news::take(&self.node, news);
+        crate::target_updates::take(&self.node, news);
     }
 
     async fn pass_on(self, _: Context, news: Vec<TargetNews>, to: Vec<SocketAddr>) {
-        crate::target_news::pass_on(&self.node, news, to).await;
+        crate::target_updates::pass_on(&self.node, news, to).await;
     }
 
     async fn propose(self, _: Context, command: ControlCommand) -> CommitAnswer {
@@ -96,7 +96,7 @@
     }
 
     async fn digests(self, _: Context, model: String, version: u64) -> Option<SharedDigests> {
-        self.node.known_digests(&model, version).map(SharedDigests)
+        self.node.cached_digests(&model, version).map(SharedDigests)
     }
 
     async fn offer(self, _: Context, model: String, version: u64, offer: Offer, from: SocketAddr) {
--- a/crates/moleroad_gateway/src/quarantine.rs
+++ b/crates/moleroad_gateway/src/quarantine.rs
@@ -116,7 +116,7 @@
 
     /// Facts that changed here after `position`, and the position up to which
     /// that is all.
-    pub fn ends_to_tell(&self, now: Millis, position: u64) -> (Vec<TerminationReport>, u64) {
+    pub fn target_ends_since(&self, now: Millis, position: u64) -> (Vec<TerminationReport>, u64) {
         self.quarantine.suspects.since(now, position)
     }
 
@@ -133,7 +133,7 @@
         };
         let is_same_life = known.incarnation == incarnation;
         let position = if is_same_life { known.position } else { 0 };
-        let (ends, position) = self.ends_to_tell(now, position);
+        let (ends, position) = self.target_ends_since(now, position);
         let cursor = Cursor {
             incarnation,
             position,
@@ -162,7 +162,11 @@
 
     /// Waits while it is open whether a request stays held, since daemons may just
     /// be telling of its good ends, but not beyond `until`; whether it is held then.
-    pub(crate) async fn hear_verdict(&self, request: &RequestFingerprint, until: Millis) -> bool {
+    pub(crate) async fn wait_for_hold_decision(
+        &self,
+        request: &RequestFingerprint,
+        until: Millis,
+    ) -> bool {
         loop {
             let now = self.clock.now();
             let (is_held, left_ms) = {
@@ -183,7 +187,7 @@
 
     /// Takes facts that another daemon tells. What this entry had given up at the
     /// targets that ended may have ended them as well.
-    pub fn hear_ends(&self, news: Vec<TerminationReport>) {
+    pub fn receive_target_ends(&self, news: Vec<TerminationReport>) {
         let lives: BTreeSet<TargetIncarnation> = news.iter().filter_map(just_ended).collect();
         self.take_ends(news, EndSource::Greeting);
         for life in lives {
@@ -228,7 +232,7 @@
 
     /// Tells the control group of requests that are held, until it keeps them:
     /// they are to stay held when every daemon begins anew.
-    pub fn tell_holds(self: &Arc<Self>) {
+    pub fn submit_holds(self: &Arc<Self>) {
         for order in self.holds_to_tell() {
             let node = self.clone();
             tokio::spawn(async move {
--- a/crates/moleroad_gateway/src/run.rs
+++ b/crates/moleroad_gateway/src/run.rs
@@ -62,7 +62,7 @@
     let (output, outputs) = mpsc::unbounded_channel();
     let core = start_core(&settings, clock, output)?;
     let node = Arc::new(Node::new(settings, clock, interface, core));
-    node.set_own_state();
+    node.update_own_record();
     log::info!(
         event = "start",
         role:? = node.settings.role,
@@ -189,7 +189,7 @@
                     leader = hint.map_or("none".to_string(), |hint| hint.address.to_string()).as_str();
                     ""
                 );
-                node.view().take_leader(hint);
+                node.view().update_leader(hint);
             }
             CoreOutput::Disk(Err(_)) => node.metrics.count("disk_failed"),
             CoreOutput::Disk(Ok(())) => node.metrics.count("disk_works_again"),
@@ -267,8 +267,8 @@
             node.measure_demand(span_ms);
         }
         node.serve_waiting();
-        node.tell_holds();
-        node.tell_releases();
+        node.submit_holds();
+        node.submit_releases();
         node.pool.expire();
     }
 }
--- a/crates/moleroad_gateway/src/system_calls.rs
+++ b/crates/moleroad_gateway/src/system_calls.rs
@@ -7,7 +7,7 @@
 use crate::interface::SystemCall;
 use crate::listening::serve_each;
 use crate::node::Node;
-use crate::{hall_calls, hall_orders, operator, target_news};
+use crate::{hall_calls, hall_orders, operator, target_updates};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
@@ -66,7 +66,7 @@
         Some(SystemCall::Metrics) => plain(StatusCode::OK, node.metrics.render()),
         Some(SystemCall::ReadConfiguration) => read_configuration(&node).await,
         Some(SystemCall::Deregister(id)) => {
-            target_news::gone(&node, &id).await;
+            target_updates::gone(&node, &id).await;
             document(&node, StatusCode::OK, b"{}".to_vec())
         }
         Some(SystemCall::EvacuateHall(hall)) => order_hall(&node, &hall, true).await,
@@ -134,7 +134,7 @@
         return failure(node, StatusCode::BAD_REQUEST, reason);
     };
     let next = heartbeat_address(node, &record.hall);
-    target_news::heartbeat(node, record).await;
+    target_updates::heartbeat(node, record).await;
     let body = node.interface.write_heartbeat_answer(next);
     document(node, StatusCode::OK, body)
 }
--- a/crates/moleroad_gateway/src/limit_news.rs
+++ b/crates/moleroad_gateway/src/target_limits.rs
@@ -1,6 +1,6 @@
 //! Which targets named a limit, from what this daemon heard of them.
 
-use crate::cold_news::has_asked_agents;
+use crate::cold_targets::has_asked_agents;
 use crate::settings::Settings;
 use crate::view::View;
 use moleroad_config::prelude::Service;
--- a/crates/moleroad_gateway/src/target_notice.rs
+++ b/crates/moleroad_gateway/src/target_notice.rs
@@ -9,7 +9,7 @@
 
 use crate::interface::HeaderNames;
 use crate::node::Node;
-use crate::target_news;
+use crate::target_updates;
 use crate::view::View;
 use hyper::StatusCode;
 use hyper::header::{HeaderMap, HeaderValue, RETRY_AFTER};
@@ -121,7 +121,7 @@
 impl Node {
     /// Takes what the head of an answer says of the target that made it, whatever
     /// becomes of the answer.
-    pub(crate) fn take_notice(&self, head: AnswerHead<'_>) {
+    pub(crate) fn apply_notice(&self, head: AnswerHead<'_>) {
         let notice = TargetNotice::read(self.interface.headers(), head.status, head.headers);
         if notice.has_unreadable_rest {
             self.note_unreadable_rest(&head.from, head.request, head.headers);
@@ -222,7 +222,7 @@
             target:% = from.target;
             ""
         );
-        target_news::applied(self);
+        target_updates::applied(self);
     }
 
     fn note_rest(&self, from: Responder, request: &str, rest_ms: u64) {
@@ -260,7 +260,7 @@
 
     /// How much longer what answers at `address` rests from this daemon, in
     /// milliseconds; 0 when it does not.
-    pub(crate) fn rest_left_ms(&self, address: SocketAddr) -> u64 {
+    pub(crate) fn backoff_left_ms(&self, address: SocketAddr) -> u64 {
         let now = self.clock.now();
         let answerer = self.answerer_at(address);
         let until = self.view().rests.until(now, &answerer);
--- a/crates/moleroad_gateway/src/trial.rs
+++ b/crates/moleroad_gateway/src/trial.rs
@@ -31,7 +31,9 @@
 /// all at all entries. Without a leader none is, and the request is refused at
 /// once.
 pub async fn is_granted(node: &Arc<Node>, request: &Accepted) -> bool {
-    let is_held = node.hear_verdict(&request.fingerprint, request.until).await;
+    let is_held = node
+        .wait_for_hold_decision(&request.fingerprint, request.until)
+        .await;
     let left_ms = request.until.since(node.clock.now());
     if !is_held || left_ms < LEAST_LEFT_MS || !node.claims_trial(&request.fingerprint) {
         return false;
@@ -103,7 +105,7 @@
 
     /// Tells the control group of requests that it holds and that ran to a good
     /// end here.
-    pub fn tell_releases(self: &Arc<Self>) {
+    pub fn submit_releases(self: &Arc<Self>) {
         for order in self.releases_to_tell() {
             let node = self.clone();
             tokio::spawn(async move {
--- a/crates/moleroad_gateway/src/view.rs
+++ b/crates/moleroad_gateway/src/view.rs
@@ -1,14 +1,14 @@
 //! What one daemon believes: what is in force, who is there, who leads.
 
-use crate::cold_news::ColdMemory;
+use crate::cold_targets::ColdMemory;
 use crate::control_state::{ConfigDocument, ControlState};
 use crate::halls::KnownHalls;
 use crate::interface::Interface;
-use crate::limit_news::LimitMemory;
 use crate::named_versions::NamedVersions;
 use crate::peer::{Catalog, CatalogModel, CatalogOrigin, LeaderHint, VersionAge};
 use crate::places::ServicePlaces;
 use crate::quarantine::Quarantine;
+use crate::target_limits::LimitMemory;
 use moleroad_config::prelude::{
     ConfigVersion, Configuration, ConfigurationError, Residency, RouteTable, Service, check,
 };
@@ -27,7 +27,7 @@
 
 /// Time from the naming of a version until requests no longer go to older ones,
 /// in milliseconds, where it is due after `version_ms`.
-pub fn leaves_older_after_ms(version_ms: u64) -> u64 {
+pub fn older_version_cutoff_ms(version_ms: u64) -> u64 {
     version_ms - version_ms / VERSION_MARGIN_PART
 }
 
@@ -54,7 +54,7 @@
     /// What this daemon tells of itself.
     pub own: DaemonRecord,
     /// Whether the engine beside this agent was read in this life.
-    pub engine_was_read: bool,
+    pub engine_was_polled: bool,
     /// Requests that this daemon has to place in a second.
     pub demand_per_s: f32,
     /// The leader of the control group, as believed.
@@ -88,7 +88,7 @@
             directory: Directory::new(),
             services: HashMap::new(),
             own,
-            engine_was_read: false,
+            engine_was_polled: false,
             demand_per_s: 0.0,
             leader: None,
             to_tell: HashMap::new(),
@@ -123,7 +123,7 @@
 
     /// Whether another daemon that tells this of its configuration holds another document
     /// than this one under the same version.
-    pub fn holds_other_document(&self, version: ConfigVersion, digest: u64) -> bool {
+    pub fn has_conflicting_document(&self, version: ConfigVersion, digest: u64) -> bool {
         let both_hold = digest != 0 && self.config_digest != 0;
         both_hold && version == self.state.config_version() && digest != self.config_digest
     }
@@ -220,7 +220,7 @@
     }
 
     /// Takes a belief about the leader if it is newer.
-    pub fn take_leader(&mut self, hint: Option<LeaderHint>) {
+    pub fn update_leader(&mut self, hint: Option<LeaderHint>) {
         if let Some(hint) = hint
             && self.leader.is_none_or(|known| hint.term > known.term)
         {
@@ -233,7 +233,7 @@
     pub fn least_version(&self, now: Millis, service: &Service, version_ms: u64) -> Option<u64> {
         let model = service.models.first()?;
         let named = self.named.get(&model.name)?;
-        named.due(now, leaves_older_after_ms(version_ms))
+        named.due(now, older_version_cutoff_ms(version_ms))
     }
 
     /// Until when requests may begin on `version` of the weights for `service`;
@@ -246,7 +246,7 @@
     ) -> Option<OldWeights> {
         let model = service.models.first()?;
         let named = self.named.get(&model.name)?;
-        let newer_named_at = named.waiting_since(version)?;
+        let newer_named_at = named.superseded_at(version)?;
         Some(OldWeights::new(newer_named_at, version_ms))
     }
 
--- a/crates/moleroad_gateway/tests/decided.rs
+++ b/crates/moleroad_gateway/tests/decided.rs
@@ -108,11 +108,11 @@
     };
     for (node, other) in [(&right, &wrong), (&wrong, &right)] {
         let (version, digest) = told(other);
-        assert!(node.view().holds_other_document(version, digest));
+        assert!(node.view().has_conflicting_document(version, digest));
         settle(node).await;
     }
     assert_eq!(in_force(&right), (5, "decided".into()));
     assert_eq!(in_force(&wrong), (5, "decided".into()));
     assert_eq!(told(&right), told(&wrong));
-    assert!(!right.view().holds_other_document(ConfigVersion(5), 0));
+    assert!(!right.view().has_conflicting_document(ConfigVersion(5), 0));
 }
--- a/crates/moleroad_gateway/tests/entries.rs
+++ b/crates/moleroad_gateway/tests/entries.rs
@@ -74,7 +74,7 @@
     assert!(lacks_news(&node));
     assert!(!node.standstill().reads_backlog(node.began_at));
     // Nobody answers.
-    node.hear_after_standstill().await;
+    node.catch_up_after_suspension().await;
     assert!(node.clock.now().since(node.began_at) >= 1_000);
 
     let node = entry_that_begins_again("begins-and-hears").await;
--- a/crates/moleroad_gateway/tests/evacuations.rs
+++ b/crates/moleroad_gateway/tests/evacuations.rs
@@ -3,7 +3,7 @@
 
 use moleroad_gateway::control_state::{ConfigDocument, ControlCommand, ControlState};
 use moleroad_gateway::evacuations::*;
-use moleroad_gateway::halls::{HallNews, HallsNews};
+use moleroad_gateway::halls::{HallUpdate, HallUpdates};
 use moleroad_gateway::peer::{Hello, HelloAnswer};
 use moleroad_gateway::standstill::Standstill;
 use moleroad_types::prelude::Millis;
@@ -31,7 +31,7 @@
 
 #[test]
 fn an_order_changes_a_hall_is_already_met_or_was_overtaken() {
-    use HallOutcome::*;
+    use HallOrderOutcome::*;
     let mut halls = Evacuations::default();
     // The order, what it comes to, and the state after it.
     let steps = [
@@ -54,7 +54,7 @@
     ];
     for (order, outcome, state) in steps {
         let verdict = halls.carry_out(&order);
-        assert_eq!(verdict, HallVerdict { outcome, state }, "{order:?}");
+        assert_eq!(verdict, HallOrderResult { outcome, state }, "{order:?}");
         assert_eq!(halls.of("a"), state);
         assert_eq!(outcome.is_as_wanted(), state.evacuated == order.evacuated);
     }
@@ -84,7 +84,7 @@
             let stale_by = random.random_range(0..3);
             let based_on = before.revision.0.saturating_sub(stale_by);
             let verdict = log.carry_out(&order(hall, random.random(), based_on));
-            let step = u64::from(verdict.outcome == HallOutcome::Changed);
+            let step = u64::from(verdict.outcome == HallOrderOutcome::Changed);
             assert_eq!(verdict.state.revision.0, before.revision.0 + step);
             history.push(log.clone());
         }
@@ -176,7 +176,7 @@
         targets: Vec::new(),
         question: Default::default(),
         catalog_digest: 1,
-        halls: HallsNews::new(),
+        halls: HallUpdates::new(),
         ends: Vec::new(),
         ends_after: None,
         config_digest: 0,
@@ -193,13 +193,13 @@
 
 #[test]
 fn a_daemon_without_evacuations_spends_one_byte_on_them() {
-    let none = rmp_serde::to_vec(&HallsNews::new()).unwrap();
+    let none = rmp_serde::to_vec(&HallUpdates::new()).unwrap();
     assert_eq!(none.len(), 1);
-    let news = HallNews {
+    let news = HallUpdate {
         state: state(true, 1),
         age_ms: 900,
     };
-    let one = rmp_serde::to_vec(&HallsNews::from([("hall-a".to_string(), news)])).unwrap();
+    let one = rmp_serde::to_vec(&HallUpdates::from([("hall-a".to_string(), news)])).unwrap();
     assert!(one.len() < 24, "{}", one.len());
 }
 
--- a/crates/moleroad_gateway/tests/hall_orders.rs
+++ b/crates/moleroad_gateway/tests/hall_orders.rs
@@ -35,7 +35,7 @@
 }
 
 /// What the order at `index` came to.
-fn verdict(commands: &[Vec<u8>], index: LogIndex, order: &HallOrder) -> HallVerdict {
+fn verdict(commands: &[Vec<u8>], index: LogIndex, order: &HallOrder) -> HallOrderResult {
     let before = (index.0 - FOUNDED.0) as usize - 1;
     assert_eq!(commands[before], bytes(order));
     replay(&commands[..before]).evacuations.carry_out(order)
@@ -90,7 +90,12 @@
     }
 
     /// The verdict on `order` once it is accepted; the daemon then knows it.
-    fn answer(&mut self, daemon: usize, order: &HallOrder, after: LogIndex) -> Option<HallVerdict> {
+    fn answer(
+        &mut self,
+        daemon: usize,
+        order: &HallOrder,
+        after: LogIndex,
+    ) -> Option<HallOrderResult> {
         let mut accepted = self.group.accepted.iter();
         let is_own = |index: &LogIndex, data: &[u8]| {
             *index > after && !self.answered.contains(index) && data == bytes(order)
@@ -263,7 +268,7 @@
             play.group.run(span);
             for ((daemon, order), after) in orders.iter().zip(after) {
                 let verdict = after.and_then(|after| play.answer(*daemon, order, after));
-                let changed = verdict.filter(|v| v.outcome == HallOutcome::Changed);
+                let changed = verdict.filter(|v| v.outcome == HallOrderOutcome::Changed);
                 changes += u64::from(changed.is_some());
             }
             play.spread();
--- a/crates/moleroad_gateway/tests/halls.rs
+++ b/crates/moleroad_gateway/tests/halls.rs
@@ -7,7 +7,7 @@
 use moleroad_directory::prelude::*;
 use moleroad_dispatch::prelude::*;
 use moleroad_gateway::evacuations::*;
-use moleroad_gateway::halls::{HallNews, HallsNews};
+use moleroad_gateway::halls::{HallUpdate, HallUpdates};
 use moleroad_gateway::settings::Settings;
 use moleroad_gateway::view::View;
 use moleroad_types::prelude::*;
@@ -63,15 +63,15 @@
     view
 }
 
-fn news(hall: &str, revision: u64, evacuated: bool, age_ms: u64) -> HallsNews {
+fn news(hall: &str, revision: u64, evacuated: bool, age_ms: u64) -> HallUpdates {
     let state = HallState {
         revision: HallRevision(revision),
         evacuated,
     };
-    HallsNews::from([(hall.to_string(), HallNews { state, age_ms })])
+    HallUpdates::from([(hall.to_string(), HallUpdate { state, age_ms })])
 }
 
-fn learn(view: &mut View, now: u64, news: &HallsNews) -> usize {
+fn learn(view: &mut View, now: u64, news: &HallUpdates) -> usize {
     let changes = view.learn_halls(Millis(now), news);
     view.refresh_candidates(Millis(now), &settings());
     changes.len()
@@ -92,11 +92,11 @@
     // Older news, told late, changes nothing.
     assert_eq!(learn(&mut view, 9_200, &news("hall-a", 1, true, 0)), 0);
     assert_eq!(view.restored_at("hall-a"), Some(Millis(8_850)));
-    let told = view.halls_news(Millis(9_350));
+    let told = view.hall_updates(Millis(9_350));
     assert_eq!(told, news("hall-a", 2, false, 500));
-    assert!(view.knows_no_more_of_halls(&told));
-    assert!(!view.knows_no_more_of_halls(&news("hall-a", 1, true, 0)));
-    assert!(!view.knows_no_more_of_halls(&HallsNews::new()));
+    assert!(view.has_no_newer_halls_than(&told));
+    assert!(!view.has_no_newer_halls_than(&news("hall-a", 1, true, 0)));
+    assert!(!view.has_no_newer_halls_than(&HallUpdates::new()));
 }
 
 #[test]
@@ -169,16 +169,16 @@
 fn requests_kept_away_are_counted_by_hall_until_it_is_taken_back() {
     let mut view = view();
     let needs = Requirements::default();
-    assert!(view.note_kept_away("plain", needs).halls.is_empty());
+    assert!(view.count_diversions("plain", needs).halls.is_empty());
     learn(&mut view, 2_000, &news("hall-a", 1, true, 0));
-    assert_eq!(view.note_kept_away("plain", needs).first.len(), 1);
+    assert_eq!(view.count_diversions("plain", needs).first.len(), 1);
     for _ in 0..4 {
-        let kept_away = view.note_kept_away("plain", needs);
+        let kept_away = view.count_diversions("plain", needs);
         assert!(kept_away.first.is_empty() && kept_away.halls.contains("hall-a"));
     }
     let changes = view.learn_halls(Millis(3_000), &news("hall-a", 2, false, 0));
     assert_eq!(changes[0].kept_away, 5);
     view.refresh_candidates(Millis(3_000), &settings());
-    assert!(view.note_kept_away("plain", needs).halls.is_empty());
-    assert!(view.note_kept_away("unknown", needs).halls.is_empty());
+    assert!(view.count_diversions("plain", needs).halls.is_empty());
+    assert!(view.count_diversions("unknown", needs).halls.is_empty());
 }
--- a/crates/moleroad_gateway/tests/limits.rs
+++ b/crates/moleroad_gateway/tests/limits.rs
@@ -11,17 +11,17 @@
 #[test]
 fn each_target_has_grants_of_its_own_and_the_fewest_are_told() {
     let grants = LimitGrants::default();
-    assert_eq!(grants.least_free(Millis(1_000)), None);
+    assert_eq!(grants.min_available(Millis(1_000)), None);
     let one = RequestRate::per_s(1.0);
     let take = |at, name| grants.take(Millis(at), &id(name), one);
     assert!(take(1_000, "a") && !take(1_000, "a"));
     assert!(take(1_000, "b"), "another target");
-    assert_eq!(grants.least_free(Millis(1_500)), Some(0));
+    assert_eq!(grants.min_available(Millis(1_500)), Some(0));
     assert!(!take(1_999, "a") && take(2_000, "a"));
     // What is full again is forgotten with the next question.
     assert!(take(60_000, "c"));
-    assert_eq!(grants.least_free(Millis(60_000)), Some(0));
-    assert_eq!(grants.least_free(Millis(61_000)), Some(1));
+    assert_eq!(grants.min_available(Millis(60_000)), Some(0));
+    assert_eq!(grants.min_available(Millis(61_000)), Some(1));
 }
 
 #[test]
--- a/crates/moleroad_gateway/tests/parts.rs
+++ b/crates/moleroad_gateway/tests/parts.rs
@@ -154,9 +154,9 @@
     assert_eq!(named.due(Millis(8_000), 8_000), None);
     assert_eq!(named.due(Millis(8_900), 8_000), Some(2));
     assert_eq!(named.due(Millis(12_000), 8_000), Some(3));
-    assert_eq!(named.waiting_since(1), Some(Millis(900)));
-    assert_eq!(named.waiting_since(2), Some(Millis(4_000)));
-    assert_eq!(named.waiting_since(3), None);
+    assert_eq!(named.superseded_at(1), Some(Millis(900)));
+    assert_eq!(named.superseded_at(2), Some(Millis(4_000)));
+    assert_eq!(named.superseded_at(3), None);
 }
 
 #[test]
--- a/crates/moleroad_gateway/tests/quarantine.rs
+++ b/crates/moleroad_gateway/tests/quarantine.rs
@@ -39,7 +39,7 @@
 
 /// Lets the entry hear that so many targets ended under the request.
 fn hear(node: &Node, ends: usize) {
-    node.hear_ends((0..ends).map(end).collect());
+    node.receive_target_ends((0..ends).map(end).collect());
 }
 
 #[tokio::test]
@@ -105,7 +105,7 @@
     node.note_success(REQUEST);
     hear(&node, TERMINATIONS_TO_HOLD);
     assert!(acquire(&node, &ask(&node, None)).await.is_ok());
-    let (told, _) = node.view().ends_to_tell(node.clock.now(), 0);
+    let (told, _) = node.view().target_ends_since(node.clock.now(), 0);
     assert_eq!(told.len(), TERMINATIONS_TO_HOLD);
     assert!(told.iter().all(|end| end.is_excused));
 }
@@ -151,7 +151,7 @@
         request: RequestFingerprint([1; 16]),
         ..end(number)
     });
-    node.hear_ends(beside.collect());
+    node.receive_target_ends(beside.collect());
     node
 }
 
@@ -207,7 +207,7 @@
     assert!(acquire(&node, &ask(&node, None)).await.is_ok());
     let now = node.clock.time_of_day();
     assert!(node.view().state.hold_left_ms(now, &REQUEST).is_some());
-    node.tell_releases();
+    node.submit_releases();
     let released = async {
         while node.view().state.hold_left_ms(now, &REQUEST).is_some() {
             tokio::time::sleep(Duration::from_millis(5)).await;
@@ -256,7 +256,7 @@
         ..end(number)
     });
     let tell = async {
-        node.hear_ends(excused.collect());
+        node.receive_target_ends(excused.collect());
         node.clock.now()
     };
     let (run, told_at) = tokio::join!(attempts.next_run(None), tell);
--- a/crates/moleroad_gateway/tests/support/mod.rs
+++ b/crates/moleroad_gateway/tests/support/mod.rs
@@ -17,7 +17,7 @@
 use moleroad_gateway::core::{Core, CoreSettings};
 use moleroad_gateway::evacuations::{HallRevision, HallState};
 use moleroad_gateway::front::request::Accepted;
-use moleroad_gateway::halls::{HallNews, HallsNews, Source};
+use moleroad_gateway::halls::{HallUpdate, HallUpdates, Source};
 use moleroad_gateway::listening::listen;
 use moleroad_gateway::node::Node;
 use moleroad_gateway::peer::LeaderHint;
@@ -114,7 +114,7 @@
 /// An entry without a disk that knows who leads, and nothing else.
 pub fn follower_of(leader: &Node, name: &str) -> Arc<Node> {
     let node = Node::new(settings(name, 1), Clock::default(), nobody(), None);
-    node.view().take_leader(Some(LeaderHint {
+    node.view().update_leader(Some(LeaderHint {
         term: 1,
         address: leader.settings.peer_address(),
     }));
@@ -216,7 +216,7 @@
         revision: HallRevision(1),
         evacuated: true,
     };
-    let news = HallsNews::from([(hall.to_string(), HallNews { state, age_ms: 0 })]);
+    let news = HallUpdates::from([(hall.to_string(), HallUpdate { state, age_ms: 0 })]);
     node.take_halls(&news, Source::Push);
 }
 
