--- a/crates/moleroad_gateway/src/agent/cold.rs
+++ b/crates/moleroad_gateway/src/agent/cold.rs
@@ -6,7 +6,7 @@
 //! tells all entries that ask how busy the engine is.
 
 use crate::node::Node;
-use crate::peer::{GrantAnswer, GrantAsk};
+use crate::peer::{GrantAnswer, GrantRequest};
 use moleroad_dispatch::prelude::{RateBound, TokenBucket};
 use moleroad_types::prelude::Millis;
 use std::sync::{Mutex, MutexGuard};
@@ -55,7 +55,7 @@
 
 /// What was asked for and given since the last look.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct GrantSum {
+pub struct GrantCounts {
     /// Grants asked for.
     pub asked: u32,
     /// Grants given.
@@ -64,7 +64,7 @@
 
 impl ColdEngine {
     /// Notes that the engine began, or was lost and is there again.
-    pub fn engine_began(&self, now: Millis) {
+    pub fn engine_started(&self, now: Millis) {
         self.lock().began = Some(now);
     }
 
@@ -83,7 +83,7 @@
     }
 
     /// Answers an entry that wants to send one request.
-    pub fn grant(&self, now: Millis, ask: GrantAsk) -> GrantAnswer {
+    pub fn grant(&self, now: Millis, ask: GrantRequest) -> GrantAnswer {
         self.note_alive(now);
         let mut state = self.lock();
         let told_until = now + ask.left_ms.min(LONGEST_COLD_MS);
@@ -117,9 +117,9 @@
     }
 
     /// What was asked for and given since this was last called.
-    pub fn take_sum(&self) -> GrantSum {
+    pub fn take_counts(&self) -> GrantCounts {
         let mut state = self.lock();
-        GrantSum {
+        GrantCounts {
             asked: std::mem::take(&mut state.asked),
             given: std::mem::take(&mut state.given),
         }
@@ -131,7 +131,7 @@
 }
 
 /// Answers an entry that wants to send one request, and counts it.
-pub fn grant(node: &Node, ask: GrantAsk) -> GrantAnswer {
+pub fn grant(node: &Node, ask: GrantRequest) -> GrantAnswer {
     let answer = node.cold_engine.grant(node.clock.now(), ask);
     node.metrics.count("grant_asked");
     if answer.is_given {
@@ -144,7 +144,7 @@
 pub async fn report_sums(node: std::sync::Arc<Node>) {
     loop {
         tokio::time::sleep(SUM_EVERY).await;
-        let sum = node.cold_engine.take_sum();
+        let sum = node.cold_engine.take_counts();
         if sum.asked == 0 {
             continue;
         }
--- a/crates/moleroad_gateway/src/agent/watch.rs
+++ b/crates/moleroad_gateway/src/agent/watch.rs
@@ -123,7 +123,7 @@
     // Engines that found the system with their agents are not cold.
     let is_founding = node.settings.found_group && !view.engine_was_polled;
     if view.own.report.is_none() && report.is_some() && !is_founding {
-        node.cold_engine.engine_began(node.clock.now());
+        node.cold_engine.engine_started(node.clock.now());
     }
     view.engine_was_polled |= report.is_some();
     if view.own.report != report {
--- a/crates/moleroad_gateway/src/clock.rs
+++ b/crates/moleroad_gateway/src/clock.rs
@@ -40,7 +40,7 @@
     }
 
     /// The time of day, which may be wrong by seconds and step either way.
-    pub fn time_of_day(&self) -> UnixMillis {
+    pub fn unix_time(&self) -> UnixMillis {
         let since_1970 = SystemTime::now().duration_since(UNIX_EPOCH);
         UnixMillis(since_1970.map_or(0, |time| time.as_millis() as u64))
     }
--- a/crates/moleroad_gateway/src/core/member.rs
+++ b/crates/moleroad_gateway/src/control_member/member.rs
@@ -1,6 +1,6 @@
 //! The thread of the member: feeds the replica, carries out its actions.
 
-use super::{Committed, CoreInput, CoreOutput, CoreSettings, TIMING};
+use super::{Committed, MemberInput, MemberOutput, MemberSettings, TIMING};
 use crate::clock::Clock;
 use crate::control_state::{ControlCommand, ControlState};
 use crate::evacuations::HallOrderOutcome;
@@ -20,17 +20,17 @@
 const REOPEN_MS: u64 = 300;
 
 /// Opens the log and what was kept of it.
-pub fn open(settings: &CoreSettings) -> Result<(Storage<FolderDisk>, Restored), StorageError> {
+pub fn open(settings: &MemberSettings) -> Result<(Storage<FolderDisk>, Restored), StorageError> {
     let disk = FolderDisk::open(&settings.folder)?;
     Storage::open(disk, settings.fresh, &settings.instance)
 }
 
 /// What the thread works on.
 pub struct Member {
-    settings: CoreSettings,
+    settings: MemberSettings,
     own: MemberInfo,
     clock: Clock,
-    output: mpsc::UnboundedSender<CoreOutput>,
+    output: mpsc::UnboundedSender<MemberOutput>,
     storage: Option<Storage<FolderDisk>>,
     replica: Replica,
     state: Arc<ControlState>,
@@ -48,16 +48,16 @@
 impl Member {
     /// A member that stands where its disk left it.
     pub fn new(
-        settings: CoreSettings,
+        settings: MemberSettings,
         own: MemberInfo,
         clock: Clock,
-        output: mpsc::UnboundedSender<CoreOutput>,
+        output: mpsc::UnboundedSender<MemberOutput>,
         storage: Storage<FolderDisk>,
         restored: Restored,
     ) -> Self {
         let state = state_of(&restored);
         let tentative = tentative_state(&state, &restored);
-        let _ = output.send(CoreOutput::Tentative(Arc::new(tentative)));
+        let _ = output.send(MemberOutput::Tentative(Arc::new(tentative)));
         let replica = Replica::new(own.id, TIMING, rand::random(), restored, clock.now());
         let replica = replica.with_wanted_voters(settings.tolerated_losses * 2 + 1);
         Self {
@@ -88,7 +88,7 @@
     }
 
     /// Works until the process stops.
-    pub fn run(&mut self, inputs: &Receiver<CoreInput>) {
+    pub fn run(&mut self, inputs: &Receiver<MemberInput>) {
         loop {
             let first = match inputs.recv_timeout(Duration::from_millis(TICK_MS)) {
                 Ok(input) => Some(input),
@@ -113,20 +113,20 @@
         }
     }
 
-    fn take(&mut self, input: CoreInput, proposals: &mut Vec<Proposal>) {
+    fn take(&mut self, input: MemberInput, proposals: &mut Vec<Proposal>) {
         match input {
-            CoreInput::Receive(from, message) => self.feed(Event::Receive { from, message }),
-            CoreInput::Spare(info) => self.feed(Event::SpareSeen(info)),
-            CoreInput::Propose(command, reply) => {
+            MemberInput::Receive(from, message) => self.feed(Event::Receive { from, message }),
+            MemberInput::Spare(info) => self.feed(Event::SpareSeen(info)),
+            MemberInput::Propose(command, reply) => {
                 if let Some(proposal) = self.proposal(&command, reply) {
                     proposals.push(proposal);
                 }
             }
-            CoreInput::Read(reply) => {
+            MemberInput::Read(reply) => {
                 let answer = self.read();
                 let _ = reply.send(answer);
             }
-            CoreInput::Retire => self.retired = true,
+            MemberInput::Retire => self.retired = true,
         }
     }
 
@@ -186,7 +186,7 @@
             Action::Append(entries) => storage.append(&entries)?,
             Action::SaveSnapshot { snapshot, keep } => storage.save_snapshot(&snapshot, &keep)?,
             Action::Send { to, message } => {
-                let _ = self.output.send(CoreOutput::Send(to, message));
+                let _ = self.output.send(MemberOutput::Send(to, message));
             }
             Action::Restore(snapshot) => {
                 self.state = Arc::new(decode_state(&snapshot));
@@ -285,7 +285,7 @@
         self.storage = None;
         self.reopen_at = self.clock.now() + REOPEN_MS;
         self.abandon_proposals();
-        let _ = self.output.send(CoreOutput::Disk(Err(error.to_string())));
+        let _ = self.output.send(MemberOutput::Disk(Err(error.to_string())));
     }
 
     fn try_reopen(&mut self) {
@@ -303,7 +303,7 @@
                 self.state = Arc::new(restored_state);
                 self.storage = Some(storage);
                 log::info!(event = "disk_works_again"; "");
-                let _ = self.output.send(CoreOutput::Disk(Ok(())));
+                let _ = self.output.send(MemberOutput::Disk(Ok(())));
             }
             Ok(_) => log::error!(event = "disk_exchanged"; "the folder belongs to another member"),
             Err(error) => log::warn!(event = "disk_failed"; "{error}"),
@@ -311,7 +311,7 @@
     }
 
     fn tell_state(&self) {
-        let _ = self.output.send(CoreOutput::State(self.state.clone()));
+        let _ = self.output.send(MemberOutput::State(self.state.clone()));
     }
 
     /// Logs a change of the members, and whether it brought a member that was
@@ -340,7 +340,7 @@
         let now = (self.replica.term(), leader.as_ref().map(|info| info.id));
         if self.told_leader.as_ref() != Some(&now) {
             self.told_leader = Some(now);
-            let _ = self.output.send(CoreOutput::Leader(now.0, leader));
+            let _ = self.output.send(MemberOutput::Leader(now.0, leader));
         }
     }
 }
--- a/crates/moleroad_gateway/src/core/mod.rs
+++ b/crates/moleroad_gateway/src/control_member/mod.rs
@@ -39,7 +39,7 @@
 }
 
 /// What the thread is told.
-pub enum CoreInput {
+pub enum MemberInput {
     /// A message of another member.
     Receive(MemberInfo, Message),
     /// A change that an operator wants.
@@ -53,7 +53,7 @@
 }
 
 /// What the thread tells.
-pub enum CoreOutput {
+pub enum MemberOutput {
     /// Send a message to a member.
     Send(MemberInfo, Message),
     /// This is in force.
@@ -68,7 +68,7 @@
 }
 
 /// How the thread begins.
-pub struct CoreSettings {
+pub struct MemberSettings {
     /// Folder that the member keeps its state in.
     pub folder: PathBuf,
     /// Identity if the folder is empty.
@@ -85,23 +85,23 @@
 
 /// The way to the thread.
 #[derive(Clone)]
-pub struct Core {
-    input: Sender<CoreInput>,
+pub struct ControlMember {
+    input: Sender<MemberInput>,
     /// This member; the identity is the one of the disk.
     pub own: MemberInfo,
     /// Whether the disk held anything of an earlier life.
     pub has_old_state: bool,
 }
 
-impl Core {
+impl ControlMember {
     /// Starts the thread.
     ///
     /// # Errors
     /// When the folder cannot be used at all.
     pub fn start(
-        settings: CoreSettings,
+        settings: MemberSettings,
         clock: Clock,
-        output: mpsc::UnboundedSender<CoreOutput>,
+        output: mpsc::UnboundedSender<MemberOutput>,
     ) -> Result<Self, StorageError> {
         let (storage, restored) = open(&settings)?;
         let own = MemberInfo::new(
@@ -128,14 +128,14 @@
     }
 
     /// Tells the thread something; it may have ended.
-    pub fn tell(&self, input: CoreInput) {
+    pub fn tell(&self, input: MemberInput) {
         let _ = self.input.send(input);
     }
 
     /// Asks for a change.
     pub async fn propose(&self, command: ControlCommand) -> Committed {
         let (reply, answer) = oneshot::channel();
-        self.tell(CoreInput::Propose(command, reply));
+        self.tell(MemberInput::Propose(command, reply));
         answer.await.unwrap_or(Committed::Unknown)
     }
 
@@ -145,7 +145,7 @@
     /// When this member cannot be certain.
     pub async fn read(&self) -> Result<Arc<ControlState>, Option<MemberInfo>> {
         let (reply, answer) = oneshot::channel();
-        self.tell(CoreInput::Read(reply));
+        self.tell(MemberInput::Read(reply));
         answer.await.unwrap_or(Err(None))
     }
 }
--- a/crates/moleroad_gateway/src/control_state.rs
+++ b/crates/moleroad_gateway/src/control_state.rs
@@ -195,7 +195,7 @@
     }
 
     /// Whether another document is held here under the version that `decided` holds.
-    pub fn holds_twin_of(&self, decided: &Self) -> bool {
+    pub fn conflicts_with(&self, decided: &Self) -> bool {
         match (self.document_id(), decided.document_id()) {
             (Some(held), Some(decided)) => held.version == decided.version && held != decided,
             _ => false,
--- a/crates/moleroad_gateway/src/greeting/answer.rs
+++ b/crates/moleroad_gateway/src/gossip/answer.rs
@@ -1,7 +1,7 @@
 //! Answering a greeting.
 
-use crate::core::CoreInput;
-use crate::greeting::take;
+use crate::control_member::MemberInput;
+use crate::gossip::take;
 use crate::halls::{HallUpdates, Source};
 use crate::node::Node;
 use crate::peer::{Hello, HelloAnswer};
@@ -14,7 +14,7 @@
     node.take_halls(&hello.halls, Source::Greeting);
     node.receive_target_ends(hello.ends);
     if let (Some(core), Some(member)) = (&node.core, hello.member) {
-        core.tell(CoreInput::Spare(member));
+        core.tell(MemberInput::Spare(member));
     }
     let mut view = node.view();
     let own = view.own.clone();
@@ -75,11 +75,11 @@
     }
     if differs {
         let node = node.clone();
-        tokio::spawn(async move { crate::greeting::settle(&node).await });
+        tokio::spawn(async move { crate::gossip::settle(&node).await });
     }
     if let Some(peer) = peer.filter(|_| is_behind) {
         let node = node.clone();
-        tokio::spawn(async move { crate::greeting::pull(&node, peer).await });
+        tokio::spawn(async move { crate::gossip::pull(&node, peer).await });
     }
     answer
 }
--- a/crates/moleroad_gateway/src/grants.rs
+++ b/crates/moleroad_gateway/src/grants.rs
@@ -3,7 +3,7 @@
 
 use crate::limit_grants;
 use crate::node::Node;
-use crate::peer::{EngineLoad, GrantAnswer, GrantAsk, LimitAsk, PeerClient};
+use crate::peer::{EngineLoad, GrantAnswer, GrantRequest, LimitGrantRequest, PeerClient};
 use crate::places::Ask;
 use moleroad_dispatch::prelude::*;
 use moleroad_types::prelude::Millis;
@@ -70,7 +70,7 @@
     let Some(agent) = chosen.agent else {
         return false;
     };
-    let ask = GrantAsk {
+    let ask = GrantRequest {
         requests_per_s: cold.bound.requests_per_s,
         most_in_a_second: cold.bound.most_in_a_second,
         left_ms: cold.reported_left_ms(asked_at),
@@ -87,7 +87,7 @@
 /// Asks the owner of a target that named a limit for a grant; returns whether it gave
 /// one.
 async fn has_limit_grant(node: &Arc<Node>, chosen: &Candidate, limit: &LimitedTarget) -> bool {
-    let ask = LimitAsk {
+    let ask = LimitGrantRequest {
         target: chosen.id.clone(),
         rate: limit.rate,
     };
--- a/crates/moleroad_gateway/src/hall_orders.rs
+++ b/crates/moleroad_gateway/src/hall_orders.rs
@@ -69,7 +69,7 @@
     if !regions.is_empty() && !regions.contains_key(hall) {
         return Err(HallError::Unknown(hall.to_string()));
     }
-    if node.standstill().reads_backlog(node.clock.now()) {
+    if node.standstill().may_read_backlog(node.clock.now()) {
         return Err(HallError::MayBeOld);
     }
     let order = HallOrder {
--- a/crates/moleroad_gateway/src/limit_grants.rs
+++ b/crates/moleroad_gateway/src/limit_grants.rs
@@ -2,7 +2,7 @@
 //! engine beside an agent, or plain targets that fall to an entry.
 
 use crate::node::Node;
-use crate::peer::{GrantAnswer, LimitAsk};
+use crate::peer::{GrantAnswer, LimitGrantRequest};
 use moleroad_directory::prelude::{RequestRate, TargetId};
 use moleroad_dispatch::prelude::{TokenBucket, limit_bucket_params};
 use moleroad_types::prelude::Millis;
@@ -39,7 +39,7 @@
 }
 
 /// Answers an entry that wants to send one request, and counts it.
-pub fn grant(node: &Node, ask: &LimitAsk) -> GrantAnswer {
+pub fn grant(node: &Node, ask: &LimitGrantRequest) -> GrantAnswer {
     let now = node.clock.now();
     let is_given = node.limit_grants.take(now, &ask.target, ask.rate);
     node.metrics.count("limit_grant_asked");
--- a/crates/moleroad_gateway/src/node.rs
+++ b/crates/moleroad_gateway/src/node.rs
@@ -4,8 +4,8 @@
 use crate::agent::offers::Offers;
 use crate::agent::pieces::PieceMemory;
 use crate::clock::Clock;
+use crate::control_member::ControlMember;
 use crate::control_state::{ControlCommand, ControlState};
-use crate::core::Core;
 use crate::front::pool::Pool;
 use crate::halls::{Source, news_of};
 use crate::interface::{Interface, PieceDigests};
@@ -16,7 +16,7 @@
 use crate::places::Ask;
 use crate::region_warnings;
 use crate::settings::{RoleSetting, Settings};
-use crate::standstill::Standstill;
+use crate::suspension::SuspensionDetector;
 use crate::target_ends::TargetEnds;
 use crate::view::View;
 use moleroad_consensus::prelude::MemberInfo;
@@ -42,7 +42,7 @@
     /// Other daemons.
     pub peers: Peers,
     /// The member of the control group, where there is a disk.
-    pub core: Option<Core>,
+    pub core: Option<ControlMember>,
     /// Kept connections to targets.
     pub pool: Pool,
     /// Figures.
@@ -68,7 +68,7 @@
     pulling: AtomicBool,
     leaving: AtomicBool,
     ending: AtomicBool,
-    standstill: Mutex<Standstill>,
+    standstill: Mutex<SuspensionDetector>,
     target_ends: Mutex<TargetEnds>,
     view: Mutex<View>,
 }
@@ -79,14 +79,14 @@
         settings: Settings,
         clock: Clock,
         interface: Arc<dyn Interface>,
-        core: Option<Core>,
+        core: Option<ControlMember>,
     ) -> Self {
         let own = own_record(&settings);
         let began_at = clock.now();
         let metrics = Metrics::default();
         let standstill = match &core {
-            Some(core) if core.has_old_state => Standstill::with_old_state(began_at),
-            _ => Standstill::new(began_at),
+            Some(core) if core.has_old_state => SuspensionDetector::with_old_state(began_at),
+            _ => SuspensionDetector::new(began_at),
         };
         Self {
             began_at,
@@ -130,7 +130,7 @@
 
     /// Whether this process stood still, looked at now. Never held across an
     /// await.
-    pub fn standstill(&self) -> MutexGuard<'_, Standstill> {
+    pub fn standstill(&self) -> MutexGuard<'_, SuspensionDetector> {
         let standstill = self.standstill.lock();
         let mut standstill = standstill.unwrap_or_else(|error| error.into_inner());
         if standstill.look(self.clock.now()) {
@@ -281,7 +281,7 @@
     pub fn merge_committed(&self, decided: &ControlState) -> bool {
         let is_twin = {
             let mut view = self.view();
-            let is_twin = view.state.holds_twin_of(decided);
+            let is_twin = view.state.conflicts_with(decided);
             if is_twin {
                 view.state.configuration = None;
             }
--- a/crates/moleroad_gateway/src/operator.rs
+++ b/crates/moleroad_gateway/src/operator.rs
@@ -1,8 +1,8 @@
 //! Changes that operators want, and reads of what is in force: carried to the
 //! leader of the control group from whichever daemon was asked.
 
+use crate::control_member::Committed;
 use crate::control_state::{ControlCommand, ControlState, DocumentId};
-use crate::core::Committed;
 use crate::evacuations::{HallOrder, HallOrderResult};
 use crate::halls::{HallUpdate, HallUpdates, Source};
 use crate::node::Node;
--- a/crates/moleroad_gateway/src/peer.rs
+++ b/crates/moleroad_gateway/src/peer.rs
@@ -191,7 +191,7 @@
 
 /// News of targets that entries must have at once.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum TargetNews {
+pub enum TargetUpdate {
     /// A target told something new of itself.
     Changed(Aged<TargetRecord>),
     /// A target is gone.
@@ -233,7 +233,7 @@
 
 /// An entry asks whether it may send one request to a cold engine.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct GrantAsk {
+pub struct GrantRequest {
     /// Requests a second that the engine should get.
     pub requests_per_s: f64,
     /// Most requests that it may get in any one second.
@@ -246,14 +246,14 @@
 /// An entry asks the owner of a target that named a limit whether it may send one
 /// request there.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LimitAsk {
+pub struct LimitGrantRequest {
     /// The target.
     pub target: TargetId,
     /// Requests that it takes from all entries.
     pub rate: RequestRate,
 }
 
-/// Answers a [`GrantAsk`] or a [`LimitAsk`].
+/// Answers a [`GrantRequest`] or a [`LimitGrantRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GrantAnswer {
     /// Whether one request may be sent.
@@ -268,9 +268,9 @@
     /// Brings a message of a member of the control group.
     async fn consensus(from: MemberInfo, message: Message);
     /// Brings news of targets.
-    async fn targets(news: Vec<TargetNews>);
+    async fn targets(news: Vec<TargetUpdate>);
     /// Brings news of targets that the callee is to pass on to these entries.
-    async fn pass_on(news: Vec<TargetNews>, to: Vec<SocketAddr>);
+    async fn pass_on(news: Vec<TargetUpdate>, to: Vec<SocketAddr>);
     /// Asks the leader for a change.
     async fn propose(command: ControlCommand) -> CommitAnswer;
     /// Asks the leader for what is in force now.
@@ -288,7 +288,7 @@
     /// Asks an agent for a piece of weights.
     async fn piece(model: String, version: u64, piece: u32) -> Option<ByteBuf>;
     /// Asks an agent whether a request may go to its engine while it is cold.
-    async fn grant(ask: GrantAsk) -> GrantAnswer;
+    async fn grant(ask: GrantRequest) -> GrantAnswer;
     /// Asks the owner of a target whether a request may go there within its limit.
-    async fn limit_grant(ask: LimitAsk) -> GrantAnswer;
+    async fn limit_grant(ask: LimitGrantRequest) -> GrantAnswer;
 }
--- a/crates/moleroad_gateway/src/peer_server.rs
+++ b/crates/moleroad_gateway/src/peer_server.rs
@@ -1,14 +1,14 @@
 //! Calls that other daemons make here.
 
+use crate::control_member::MemberInput;
 use crate::control_state::{ControlCommand, ControlState};
-use crate::core::CoreInput;
 use crate::halls::Source;
 use crate::listening::serve_each;
 use crate::node::Node;
 use crate::operator;
 use crate::peer::{
-    CommitAnswer, EngineLoad, GrantAnswer, GrantAsk, Hello, HelloAnswer, LeaderHint, LimitAsk,
-    Offer, Peer, SharedDigests, TargetNews,
+    CommitAnswer, EngineLoad, GrantAnswer, GrantRequest, Hello, HelloAnswer, LeaderHint,
+    LimitGrantRequest, Offer, Peer, SharedDigests, TargetUpdate,
 };
 use crate::peers::transport;
 use futures::StreamExt;
@@ -50,20 +50,20 @@
 
 impl Peer for Callee {
     async fn hello(self, _: Context, hello: Hello) -> HelloAnswer {
-        crate::greeting::answer::answer(&self.node, hello)
+        crate::gossip::answer::answer(&self.node, hello)
     }
 
     async fn consensus(self, _: Context, from: MemberInfo, message: Message) {
         if let Some(core) = &self.node.core {
-            core.tell(CoreInput::Receive(from, message));
+            core.tell(MemberInput::Receive(from, message));
         }
     }
 
-    async fn targets(self, _: Context, news: Vec<TargetNews>) {
+    async fn targets(self, _: Context, news: Vec<TargetUpdate>) {
         crate::target_updates::take(&self.node, news);
     }
 
-    async fn pass_on(self, _: Context, news: Vec<TargetNews>, to: Vec<SocketAddr>) {
+    async fn pass_on(self, _: Context, news: Vec<TargetUpdate>, to: Vec<SocketAddr>) {
         crate::target_updates::pass_on(&self.node, news, to).await;
     }
 
@@ -87,11 +87,11 @@
         crate::agent::watch::load(&self.node).await
     }
 
-    async fn grant(self, _: Context, ask: GrantAsk) -> GrantAnswer {
+    async fn grant(self, _: Context, ask: GrantRequest) -> GrantAnswer {
         crate::agent::cold::grant(&self.node, ask)
     }
 
-    async fn limit_grant(self, _: Context, ask: LimitAsk) -> GrantAnswer {
+    async fn limit_grant(self, _: Context, ask: LimitGrantRequest) -> GrantAnswer {
         crate::limit_grants::grant(&self.node, &ask)
     }
 
--- a/crates/moleroad_gateway/src/quarantine.rs
+++ b/crates/moleroad_gateway/src/quarantine.rs
@@ -154,7 +154,7 @@
             .flatten();
         // What the control group keeps may be from before a good end here.
         let kept = (!state.holds.is_empty())
-            .then(|| state.hold_left_ms(self.clock.time_of_day(), request))
+            .then(|| state.hold_left_ms(self.clock.unix_time(), request))
             .flatten()
             .filter(|_| !quarantine.speaks_for(self.clock.now(), request));
         seen.max(kept)
@@ -248,7 +248,7 @@
         if view.quarantine.to_tell.is_empty() {
             return Vec::new();
         }
-        let (now, time_of_day) = (self.clock.now(), self.clock.time_of_day());
+        let (now, unix_time) = (self.clock.now(), self.clock.unix_time());
         let View {
             quarantine, state, ..
         } = &mut *view;
@@ -260,7 +260,7 @@
             };
             let order = HoldOrder {
                 request: *request,
-                until: UnixMillis(time_of_day.0 + left_ms),
+                until: UnixMillis(unix_time.0 + left_ms),
             };
             if state.holds.includes(&order) {
                 return false;
--- a/crates/moleroad_gateway/src/run.rs
+++ b/crates/moleroad_gateway/src/run.rs
@@ -2,10 +2,10 @@
 
 use crate::agent;
 use crate::clock::Clock;
+use crate::control_member::{ControlMember, MemberInput, MemberOutput, MemberSettings};
 use crate::control_state::ControlState;
-use crate::core::{Core, CoreInput, CoreOutput, CoreSettings};
 use crate::front;
-use crate::greeting;
+use crate::gossip;
 use crate::halls::Source;
 use crate::interface::Interface;
 use crate::listening::listen;
@@ -78,7 +78,7 @@
         RoleSetting::Agent => agent::start(&node),
         RoleSetting::Control => start_control(&node, outputs)?,
     }
-    tokio::spawn(greeting::greet(node.clone()));
+    tokio::spawn(gossip::greet(node.clone()));
     tokio::spawn(reload(node.clone(), hangups, settings_path));
     tokio::select! {
         _ = stop.recv() => {}
@@ -90,7 +90,7 @@
 
 fn start_entry(
     node: &Arc<Node>,
-    outputs: mpsc::UnboundedReceiver<CoreOutput>,
+    outputs: mpsc::UnboundedReceiver<MemberOutput>,
 ) -> std::io::Result<()> {
     if let Some(address) = node.settings.listen.frontend {
         tokio::spawn(front::serve::serve(node.clone(), listen(address)?));
@@ -104,7 +104,7 @@
 /// member of the control group asks for, where there is one.
 fn start_control(
     node: &Arc<Node>,
-    outputs: mpsc::UnboundedReceiver<CoreOutput>,
+    outputs: mpsc::UnboundedReceiver<MemberOutput>,
 ) -> std::io::Result<()> {
     let listen_at = &node.settings.listen;
     let mut addresses: Vec<SocketAddr> =
@@ -124,15 +124,15 @@
 fn start_core(
     settings: &Settings,
     clock: Clock,
-    output: mpsc::UnboundedSender<CoreOutput>,
-) -> std::io::Result<Option<Core>> {
+    output: mpsc::UnboundedSender<MemberOutput>,
+) -> std::io::Result<Option<ControlMember>> {
     let Some(folder) = &settings.data_dir else {
         return Ok(None);
     };
     let own = settings.peer_address();
     let seeds = settings.seed_peers();
     let founds = settings.found_group && seeds.contains(&own);
-    let core = CoreSettings {
+    let core = MemberSettings {
         folder: folder.clone(),
         fresh: if founds {
             founding_id(own)
@@ -145,7 +145,7 @@
         founding: founds.then(|| founding(&seeds)),
         tolerated_losses: settings.tolerated_losses,
     };
-    Core::start(core, clock, output)
+    ControlMember::start(core, clock, output)
         .map(Some)
         .map_err(std::io::Error::other)
 }
@@ -166,19 +166,19 @@
 }
 
 /// Carries out what the member of the control group asks for.
-async fn carry_out(node: Arc<Node>, mut outputs: mpsc::UnboundedReceiver<CoreOutput>) {
+async fn carry_out(node: Arc<Node>, mut outputs: mpsc::UnboundedReceiver<MemberOutput>) {
     let mut pushed = ControlState::default();
     while let Some(output) = outputs.recv().await {
         match output {
-            CoreOutput::Send(to, message) => {
+            MemberOutput::Send(to, message) => {
                 tokio::spawn(send(node.clone(), to, message));
             }
-            CoreOutput::State(state) => {
+            MemberOutput::State(state) => {
                 node.take_state(&state, Source::Log);
                 push(&node, &state, &mut pushed);
             }
-            CoreOutput::Tentative(state) => node.prepare_for(&state),
-            CoreOutput::Leader(term, leader) => {
+            MemberOutput::Tentative(state) => node.prepare_for(&state),
+            MemberOutput::Leader(term, leader) => {
                 let hint = leader.map(|leader| LeaderHint {
                     term: term.0,
                     address: leader.address,
@@ -191,8 +191,8 @@
                 );
                 node.view().update_leader(hint);
             }
-            CoreOutput::Disk(Err(_)) => node.metrics.count("disk_failed"),
-            CoreOutput::Disk(Ok(())) => node.metrics.count("disk_works_again"),
+            MemberOutput::Disk(Err(_)) => node.metrics.count("disk_failed"),
+            MemberOutput::Disk(Ok(())) => node.metrics.count("disk_works_again"),
         }
     }
 }
@@ -295,7 +295,7 @@
     log::info!(event = "stop_begins"; "");
     node.leave();
     if let Some(core) = &node.core {
-        core.tell(CoreInput::Retire);
+        core.tell(MemberInput::Retire);
     }
     let grace_ms = node.settings.bounds.grace_ms;
     let no_more_at = grace_ms - grace_ms / LAST_PART_OF_GRACE;
--- a/crates/moleroad_gateway/src/standstill.rs
+++ b/crates/moleroad_gateway/src/suspension.rs
@@ -17,14 +17,14 @@
 
 /// When this process last stood still, and whether it heard of others since.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Standstill {
+pub struct SuspensionDetector {
     looked_at: Millis,
     woke_at: Option<Millis>,
     /// Since when it is without news of what it may have missed.
     lacks_news_since: Option<Millis>,
 }
 
-impl Standstill {
+impl SuspensionDetector {
     /// A process that begins at `now` and knows nothing yet.
     pub fn new(now: Millis) -> Self {
         Self {
@@ -69,7 +69,7 @@
     }
 
     /// Whether a call that is read now may have come long ago.
-    pub fn reads_backlog(&self, now: Millis) -> bool {
+    pub fn may_read_backlog(&self, now: Millis) -> bool {
         let woke_at = self.woke_at;
         woke_at.is_some_and(|woke_at| now.since(woke_at) < BACKLOG_MS)
     }
--- a/crates/moleroad_gateway/src/target_notice.rs
+++ b/crates/moleroad_gateway/src/target_notice.rs
@@ -228,7 +228,7 @@
     fn note_rest(&self, from: Responder, request: &str, rest_ms: u64) {
         let now = self.clock.now();
         let target = from.target.clone();
-        let answered_unix_ms = self.clock.time_of_day().0;
+        let answered_unix_ms = self.clock.unix_time().0;
         let mut view = self.view();
         let until = view.rest_target(now, from, answered_unix_ms, rest_ms);
         drop(view);
--- a/crates/moleroad_gateway/src/target_updates.rs
+++ b/crates/moleroad_gateway/src/target_updates.rs
@@ -1,7 +1,7 @@
 //! What targets say, spread to all entries before it is acknowledged.
 
 use crate::node::Node;
-use crate::peer::{PeerClient, TargetNews};
+use crate::peer::{PeerClient, TargetUpdate};
 use crate::view::View;
 use moleroad_directory::prelude::*;
 use moleroad_membership::prelude::{Branch, fan_out};
@@ -49,7 +49,7 @@
         // Entries learn the rest from their relays; that a target leaves they
         // must know before its word is acknowledged.
         if record.life != TargetLifecycle::Ready {
-            spread(node, TargetNews::Changed(Aged { record, age_ms: 0 })).await;
+            spread(node, TargetUpdate::Changed(Aged { record, age_ms: 0 })).await;
         }
     }
 }
@@ -63,20 +63,20 @@
         log::info!(event = "target_gone", target:% = id; "");
         applied(node);
     }
-    spread(node, TargetNews::Gone(id)).await;
+    spread(node, TargetUpdate::Gone(id)).await;
 }
 
 /// Takes news that another entry brings.
-pub fn take(node: &Node, news: Vec<TargetNews>) {
+pub fn take(node: &Node, news: Vec<TargetUpdate>) {
     let now = node.clock.now();
     {
         let mut view = node.view();
         for item in news {
             match item {
-                TargetNews::Changed(aged) => {
+                TargetUpdate::Changed(aged) => {
                     view.directory.merge_target(now, aged.record, aged.age_ms);
                 }
-                TargetNews::Gone(id) => {
+                TargetUpdate::Gone(id) => {
                     view.directory.target_gone(now, &id);
                 }
             }
@@ -92,7 +92,7 @@
     node.serve_waiting();
 }
 
-async fn spread(node: &Arc<Node>, news: TargetNews) {
+async fn spread(node: &Arc<Node>, news: TargetUpdate) {
     let branches = fan_out(other_entries(node));
     let calls = branches
         .into_iter()
@@ -102,7 +102,7 @@
 
 /// Tells the entries of one branch. Where its head does not confirm, the others are
 /// told from here.
-async fn tell_branch(node: &Arc<Node>, news: &TargetNews, branch: Branch) {
+async fn tell_branch(node: &Arc<Node>, news: &TargetUpdate, branch: Branch) {
     if branch.rest.is_empty() {
         tell_each(node, news, vec![branch.head]).await;
         return;
@@ -120,13 +120,13 @@
 
 /// Takes news that another entry brings, and passes it on to others of this data
 /// hall.
-pub async fn pass_on(node: &Arc<Node>, news: Vec<TargetNews>, to: Vec<SocketAddr>) {
+pub async fn pass_on(node: &Arc<Node>, news: Vec<TargetUpdate>, to: Vec<SocketAddr>) {
     take(node, news.clone());
     let calls = news.iter().map(|item| tell_each(node, item, to.clone()));
     futures::future::join_all(calls).await;
 }
 
-async fn tell_each(node: &Arc<Node>, news: &TargetNews, entries: Vec<SocketAddr>) {
+async fn tell_each(node: &Arc<Node>, news: &TargetUpdate, entries: Vec<SocketAddr>) {
     let calls = entries.into_iter().map(|address| {
         let news = vec![news.clone()];
         let call = |client: PeerClient, context| async move { client.targets(context, news).await };
--- a/crates/moleroad_gateway/src/trial.rs
+++ b/crates/moleroad_gateway/src/trial.rs
@@ -41,7 +41,7 @@
     let order = TrialOrder {
         request: request.fingerprint,
         token: TrialToken(rand::random()),
-        at: node.clock.time_of_day(),
+        at: node.clock.unix_time(),
     };
     let limit = Duration::from_millis((left_ms as f64 * ASKING_SHARE) as u64);
     let asking = operator::ask_trial(node, order);
@@ -71,7 +71,7 @@
             return false;
         }
         let is_open = view.state.reviews.trial_at(request).is_none_or(|at| {
-            let age_ms = self.clock.time_of_day().0.saturating_sub(at.0);
+            let age_ms = self.clock.unix_time().0.saturating_sub(at.0);
             age_ms >= TERMINATION_TTL_MS
         });
         let has_other_explanation = view.quarantine.suspects.has_other_explanation(now, request);
@@ -88,9 +88,9 @@
         request: &RequestFingerprint,
         left_ms: u64,
     ) -> u64 {
-        let time_of_day = self.clock.time_of_day();
+        let unix_time = self.clock.unix_time();
         let decides = match view.state.reviews.trial_at(request) {
-            Some(at) => time_of_day.0.saturating_sub(at.0) < TRIAL_DECIDES_MS,
+            Some(at) => unix_time.0.saturating_sub(at.0) < TRIAL_DECIDES_MS,
             None => {
                 let suspects = &view.quarantine.suspects;
                 suspects.has_other_explanation(self.clock.now(), request)
@@ -122,7 +122,7 @@
         if view.state.holds.is_empty() {
             return Vec::new();
         }
-        let (now, at) = (self.clock.now(), self.clock.time_of_day());
+        let (now, at) = (self.clock.now(), self.clock.unix_time());
         let View {
             quarantine, state, ..
         } = &mut *view;
--- a/crates/moleroad_gateway/tests/cold.rs
+++ b/crates/moleroad_gateway/tests/cold.rs
@@ -3,9 +3,9 @@
 use moleroad_config::prelude::*;
 use moleroad_directory::prelude::*;
 use moleroad_dispatch::prelude::*;
-use moleroad_gateway::agent::cold::{ColdEngine, GrantSum};
+use moleroad_gateway::agent::cold::{ColdEngine, GrantCounts};
 use moleroad_gateway::grants::take_state;
-use moleroad_gateway::peer::{EngineLoad, GrantAsk};
+use moleroad_gateway::peer::{EngineLoad, GrantRequest};
 use moleroad_gateway::settings::Settings;
 use moleroad_gateway::view::View;
 use moleroad_types::prelude::*;
@@ -275,8 +275,8 @@
     assert_eq!(admission(&view, 7_000), Admission::Unrestricted);
 }
 
-fn ask(left_ms: u64) -> GrantAsk {
-    GrantAsk {
+fn ask(left_ms: u64) -> GrantRequest {
+    GrantRequest {
         requests_per_s: 15.0,
         most_in_a_second: 27.5,
         left_ms,
@@ -295,11 +295,11 @@
     engine.grant(Millis(1_080), ask(900));
     let state = engine.state(Millis(1_480));
     assert_eq!((state.left_ms, state.age_ms), (500, None));
-    engine.engine_began(Millis(1_200));
+    engine.engine_started(Millis(1_200));
     assert_eq!(engine.state(Millis(1_480)).age_ms, Some(280));
-    let sum = GrantSum { asked: 4, given: 1 };
-    assert_eq!(engine.take_sum(), sum);
-    assert_eq!(engine.take_sum(), GrantSum::default());
+    let sum = GrantCounts { asked: 4, given: 1 };
+    assert_eq!(engine.take_counts(), sum);
+    assert_eq!(engine.take_counts(), GrantCounts::default());
 }
 
 #[test]
@@ -330,7 +330,7 @@
 #[test]
 fn a_bound_that_bears_nothing_gets_nothing() {
     let engine = ColdEngine::default();
-    let nothing = GrantAsk {
+    let nothing = GrantRequest {
         requests_per_s: 0.5,
         most_in_a_second: 0.75,
         left_ms: 0,
--- a/crates/moleroad_gateway/tests/decided.rs
+++ b/crates/moleroad_gateway/tests/decided.rs
@@ -5,7 +5,7 @@
 
 use moleroad_config::prelude::ConfigVersion;
 use moleroad_gateway::control_state::{ConfigDocument, ControlCommand, ControlState};
-use moleroad_gateway::greeting::settle;
+use moleroad_gateway::gossip::settle;
 use moleroad_gateway::halls::Source;
 use moleroad_gateway::node::Node;
 use moleroad_gateway::operator::{commit, read};
--- a/crates/moleroad_gateway/tests/entries.rs
+++ b/crates/moleroad_gateway/tests/entries.rs
@@ -10,7 +10,7 @@
 use moleroad_gateway::front::answer::AnswerBody;
 use moleroad_gateway::front::attempt::Attempts;
 use moleroad_gateway::front::sends::Sends;
-use moleroad_gateway::greeting::greet;
+use moleroad_gateway::gossip::greet;
 use moleroad_gateway::no_place::NoPlaceCause;
 use moleroad_gateway::node::Node;
 use std::net::SocketAddr;
@@ -72,7 +72,7 @@
     let node = entry_that_begins_again("begins").await;
     let lacks_news = |node: &Node| node.standstill().waits_for_news(node.began_at);
     assert!(lacks_news(&node));
-    assert!(!node.standstill().reads_backlog(node.began_at));
+    assert!(!node.standstill().may_read_backlog(node.began_at));
     // Nobody answers.
     node.catch_up_after_suspension().await;
     assert!(node.clock.now().since(node.began_at) >= 1_000);
--- a/crates/moleroad_gateway/tests/evacuations.rs
+++ b/crates/moleroad_gateway/tests/evacuations.rs
@@ -5,7 +5,7 @@
 use moleroad_gateway::evacuations::*;
 use moleroad_gateway::halls::{HallUpdate, HallUpdates};
 use moleroad_gateway::peer::{Hello, HelloAnswer};
-use moleroad_gateway::standstill::Standstill;
+use moleroad_gateway::suspension::SuspensionDetector;
 use moleroad_types::prelude::Millis;
 use rand::rngs::SmallRng;
 use rand::seq::SliceRandom;
@@ -205,23 +205,23 @@
 
 #[test]
 fn a_process_that_stood_still_waits_for_news_that_it_asked_for_afterwards() {
-    let mut process = Standstill::new(Millis(0));
+    let mut process = SuspensionDetector::new(Millis(0));
     for now in (50..2_000).step_by(50) {
         assert!(!process.look(Millis(now)));
     }
     // Late by less than the time in which operators give a call up.
     assert!(!process.look(Millis(2_900)));
-    assert!(!process.waits_for_news(Millis(2_900)) && !process.reads_backlog(Millis(2_900)));
+    assert!(!process.waits_for_news(Millis(2_900)) && !process.may_read_backlog(Millis(2_900)));
 
     assert!(process.look(Millis(9_000)));
-    assert!(process.waits_for_news(Millis(9_000)) && process.reads_backlog(Millis(9_000)));
+    assert!(process.waits_for_news(Millis(9_000)) && process.may_read_backlog(Millis(9_000)));
     // An answer that lay in its sockets tells nothing of what came later.
     process.heard(Millis(2_900));
     assert!(process.waits_for_news(Millis(9_010)));
     process.heard(Millis(9_005));
     assert!(!process.waits_for_news(Millis(9_020)));
-    assert!(process.reads_backlog(Millis(9_299)));
-    assert!(!process.reads_backlog(Millis(9_300)));
+    assert!(process.may_read_backlog(Millis(9_299)));
+    assert!(!process.may_read_backlog(Millis(9_300)));
 
     // Without anybody to ask it goes on with what it knows.
     assert!(process.look(Millis(20_000)));
@@ -231,20 +231,20 @@
 
 #[test]
 fn a_process_that_begins_with_what_it_kept_waits_for_news_but_not_for_old_calls() {
-    let mut process = Standstill::with_old_state(Millis(5_000));
+    let mut process = SuspensionDetector::with_old_state(Millis(5_000));
     assert!(!process.look(Millis(5_010)));
-    assert!(process.waits_for_news(Millis(5_010)) && !process.reads_backlog(Millis(5_010)));
+    assert!(process.waits_for_news(Millis(5_010)) && !process.may_read_backlog(Millis(5_010)));
     process.heard(Millis(5_020));
     assert!(!process.waits_for_news(Millis(5_030)));
 
     // One that reaches nobody goes on with what it knows.
-    let mut alone = Standstill::with_old_state(Millis(5_000));
+    let mut alone = SuspensionDetector::with_old_state(Millis(5_000));
     for now in (5_000..6_000).step_by(50) {
         assert!(!alone.look(Millis(now)));
         assert!(alone.waits_for_news(Millis(now)));
     }
     assert!(!alone.waits_for_news(Millis(6_000)));
 
-    let fresh = Standstill::new(Millis(5_000));
+    let fresh = SuspensionDetector::new(Millis(5_000));
     assert!(!fresh.waits_for_news(Millis(5_000)));
 }
--- a/crates/moleroad_gateway/tests/quarantine.rs
+++ b/crates/moleroad_gateway/tests/quarantine.rs
@@ -157,7 +157,7 @@
 
 /// Lets the control group keep the hold.
 async fn keep_hold(node: &Arc<Node>) {
-    let until = UnixMillis(node.clock.time_of_day().0 + TERMINATION_TTL_MS);
+    let until = UnixMillis(node.clock.unix_time().0 + TERMINATION_TTL_MS);
     let request = REQUEST;
     let order = ControlCommand::HoldRequest(HoldOrder { request, until });
     assert!(operator::commit(node, order).await);
@@ -205,7 +205,7 @@
     keep_hold(&node).await;
     node.note_success(REQUEST);
     assert!(acquire(&node, &ask(&node, None)).await.is_ok());
-    let now = node.clock.time_of_day();
+    let now = node.clock.unix_time();
     assert!(node.view().state.hold_left_ms(now, &REQUEST).is_some());
     node.submit_releases();
     let released = async {
--- a/crates/moleroad_gateway/tests/support/mod.rs
+++ b/crates/moleroad_gateway/tests/support/mod.rs
@@ -13,8 +13,8 @@
 use moleroad_directory::prelude::*;
 use moleroad_dispatch::prelude::*;
 use moleroad_gateway::clock::Clock;
+use moleroad_gateway::control_member::{ControlMember, MemberSettings};
 use moleroad_gateway::control_state::{ConfigDocument, ControlState};
-use moleroad_gateway::core::{Core, CoreSettings};
 use moleroad_gateway::evacuations::{HallRevision, HallState};
 use moleroad_gateway::front::request::Accepted;
 use moleroad_gateway::halls::{HallUpdate, HallUpdates, Source};
@@ -75,7 +75,7 @@
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
     let clock = Clock::default();
     let own = MemberInfo::new(MemberId(1), "e", address);
-    let core = CoreSettings {
+    let core = MemberSettings {
         folder: folder.to_path_buf(),
         fresh: own.id,
         instance: "e".into(),
@@ -84,7 +84,7 @@
         tolerated_losses: 1,
     };
     let (output, _) = mpsc::unbounded_channel();
-    let core = Core::start(core, clock, output).unwrap();
+    let core = ControlMember::start(core, clock, output).unwrap();
     let settings = settings("e", 1);
     knowing_one_target(Node::new(settings, clock, nobody(), Some(core)))
 }
@@ -95,7 +95,7 @@
     let address = listener.local_addr().unwrap();
     let clock = Clock::default();
     let own = MemberInfo::new(MemberId(1), name, address);
-    let core = CoreSettings {
+    let core = MemberSettings {
         folder: folder(name),
         fresh: own.id,
         instance: name.into(),
@@ -104,7 +104,7 @@
         tolerated_losses: 0,
     };
     let (output, _) = mpsc::unbounded_channel();
-    let core = Core::start(core, clock, output).unwrap();
+    let core = ControlMember::start(core, clock, output).unwrap();
     let settings = settings(name, address.port());
     let node = Arc::new(Node::new(settings, clock, nobody(), Some(core)));
     tokio::spawn(peer_server::serve(node.clone(), listener));
