--- a/crates/moleroad_gateway/src/agent/calls.rs
+++ b/crates/moleroad_gateway/src/agent/calls.rs
@@ -1,7 +1,7 @@
 //! HTTP calls of the agent to its engine and to the origin.
 
 use crate::front::pool::Connection;
-use crate::interface::OutsideCall;
+use crate::interface::OutboundRequest;
 use crate::node::Node;
 use crate::target_notice::AnswerHead;
 use bytes::Bytes;
@@ -23,7 +23,7 @@
 pub async fn call(
     node: &Node,
     address: SocketAddr,
-    outside: OutsideCall,
+    outside: OutboundRequest,
     timeout: Duration,
 ) -> Option<(StatusCode, Bytes)> {
     loop {
@@ -61,7 +61,7 @@
 pub async fn call_once(
     node: &Node,
     address: SocketAddr,
-    outside: OutsideCall,
+    outside: OutboundRequest,
     timeout: Duration,
 ) -> Option<(StatusCode, Bytes)> {
     if node.backoff_left_ms(address) > 0 {
@@ -89,7 +89,7 @@
 async fn exchange(
     node: &Node,
     address: SocketAddr,
-    outside: OutsideCall,
+    outside: OutboundRequest,
     connection: &mut Connection,
 ) -> Option<Answer> {
     let mut message = Request::new(Full::new(Bytes::from(outside.body)));
--- a/crates/moleroad_gateway/src/agent/change.rs
+++ b/crates/moleroad_gateway/src/agent/change.rs
@@ -124,7 +124,7 @@
                 return false;
             }
             if ordered_at.is_none() {
-                let taken = order(node, target, state.orders_taken).await;
+                let taken = order(node, target, state.accepted_orders).await;
                 log::info!(event = "order", version = target.version, taken = taken; "");
                 ordered_at = Some(now);
             }
@@ -133,14 +133,17 @@
     }
 }
 
-async fn order(node: &Node, target: &Wanted, orders_taken: u64) -> bool {
+async fn order(node: &Node, target: &Wanted, accepted_orders: u64) -> bool {
     let Some(engine) = node.settings.engine else {
         return false;
     };
     let model = target.model.model.as_str();
-    let order =
-        node.interface
-            .order_start(model, target.version, StartMode::CutRunning, orders_taken);
+    let order = node.interface.order_start(
+        model,
+        target.version,
+        StartMode::AbortRunning,
+        accepted_orders,
+    );
     let answer = call(node, engine, order, ORDER_TIMEOUT).await;
     answer.is_some_and(|(status, _)| status.is_success())
 }
--- a/crates/moleroad_gateway/src/agent/digests.rs
+++ b/crates/moleroad_gateway/src/agent/digests.rs
@@ -51,7 +51,7 @@
     for origin in origins.iter().filter(|_| may_ask_origin) {
         let asked = node
             .interface
-            .ask_digests(&wanted.model.model, wanted.version);
+            .request_digests(&wanted.model.model, wanted.version);
         let answer = call_once(node, origin.address, asked, DIGESTS_TIMEOUT).await;
         if let Some((status, body)) = answer
             && status.is_success()
--- a/crates/moleroad_gateway/src/agent/transfer.rs
+++ b/crates/moleroad_gateway/src/agent/transfer.rs
@@ -89,7 +89,7 @@
 ) -> Result<Bytes, Brought> {
     let asked = node
         .interface
-        .ask_piece(&wanted.model.model, wanted.version, piece);
+        .request_piece(&wanted.model.model, wanted.version, piece);
     let answer = call_once(node, address, asked, PIECE_TIMEOUT).await;
     let (status, bytes) = answer.ok_or(Brought::Unreachable)?;
     let given = status.is_success().then_some(bytes);
--- a/crates/moleroad_gateway/src/agent/watch.rs
+++ b/crates/moleroad_gateway/src/agent/watch.rs
@@ -101,7 +101,7 @@
     if node.backoff_left_ms(engine) > 0 {
         return None;
     }
-    let (status, body) = call(node, engine, node.interface.ask_state(), timeout).await?;
+    let (status, body) = call(node, engine, node.interface.request_state(), timeout).await?;
     if !status.is_success() {
         return None;
     }
--- a/crates/moleroad_gateway/src/front/answer.rs
+++ b/crates/moleroad_gateway/src/front/answer.rs
@@ -52,7 +52,7 @@
 
 /// Why a request is answered by the entry itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OwnAnswer {
+pub enum EntryError {
     /// No configuration is known yet.
     NoConfiguration,
     /// No route fits.
@@ -62,7 +62,7 @@
     /// The request cannot be read.
     BadRequest,
     /// The body did not come in time.
-    TooSlow,
+    BodyTimeout,
     /// The body is too large.
     TooLarge,
     /// No target can take it now; it did not run.
@@ -74,14 +74,14 @@
     /// The targets turned it away; it did not run.
     TurnedAway,
     /// Its time is over before it was sent; it did not run.
-    TooLateNotRun,
+    DeadlinePassedNotRun,
     /// No target of an allowed region may get it and is reachable; it did not
     /// run.
     NoAllowedTarget,
     /// Targets ended under it, and it is not sent any more; it did not run.
     Quarantined,
     /// Every target that may get it asked for rest; it did not run.
-    AllRest,
+    AllBackingOff,
     /// Its route and account allow no common region; it did not run.
     NoCommonRegion,
     /// It was sent and failed; it may have run.
@@ -90,10 +90,10 @@
     TimedOut,
 }
 
-impl OwnAnswer {
+impl EntryError {
     /// What it counts as in metrics.
     pub fn outcome(self) -> &'static str {
-        use OwnAnswer::*;
+        use EntryError::*;
         match self {
             NoAllowedTarget => "no_allowed_target",
             NoCommonRegion => "no_common_region",
@@ -104,7 +104,7 @@
 
     /// Status, number and text.
     pub fn parts(self) -> (StatusCode, &'static str, &'static str) {
-        use OwnAnswer::*;
+        use EntryError::*;
         match self {
             NoConfiguration => (
                 StatusCode::SERVICE_UNAVAILABLE,
@@ -122,7 +122,7 @@
                 "MR-6204",
                 "the request cannot be read; not run",
             ),
-            TooSlow => (
+            BodyTimeout => (
                 StatusCode::REQUEST_TIMEOUT,
                 "MR-6205",
                 "the body did not come in time; not run",
@@ -152,7 +152,7 @@
                 "MR-6209",
                 "targets turned it away; not run",
             ),
-            TooLateNotRun => (
+            DeadlinePassedNotRun => (
                 StatusCode::SERVICE_UNAVAILABLE,
                 "MR-6210",
                 "its time is over; not run",
@@ -162,7 +162,7 @@
                 "MR-6213",
                 "no region where it may be served has a target; not run",
             ),
-            AllRest => (
+            AllBackingOff => (
                 StatusCode::SERVICE_UNAVAILABLE,
                 "MR-6217",
                 "all its targets asked for rest; not run",
--- a/crates/moleroad_gateway/src/front/attempt.rs
+++ b/crates/moleroad_gateway/src/front/attempt.rs
@@ -246,7 +246,7 @@
             loop {
                 tokio::time::sleep(LOOK_FOR_OTHERS).await;
                 let is_silent = began.elapsed() >= patience && self.can_move(self.sends() + 1);
-                if is_silent || self.is_unwanted(place) {
+                if is_silent || self.is_start_forbidden(place) {
                     return;
                 }
             }
@@ -261,7 +261,7 @@
     /// Whether a request that has not begun may not begin at the target any
     /// more: its weights are too old by now, or other targets ended under the
     /// request. Most targets drop it from their queue when it is given up.
-    pub fn is_unwanted(&self, place: &Place) -> bool {
+    pub fn is_start_forbidden(&self, place: &Place) -> bool {
         let view = self.node.view();
         let least = self.node.least_version(&view, &self.request.service);
         let version = place.candidate.version;
--- a/crates/moleroad_gateway/src/front/events.rs
+++ b/crates/moleroad_gateway/src/front/events.rs
@@ -46,7 +46,7 @@
     }
 
     /// Whether part of an event is left.
-    pub fn has_rest(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.rest.is_empty()
     }
 
@@ -56,7 +56,7 @@
     }
 
     /// Drops part of an event, as when its target is lost.
-    pub fn drop_rest(&mut self) {
+    pub fn discard_partial_event(&mut self) {
         self.rest.clear();
         self.scanned = 0;
     }
--- a/crates/moleroad_gateway/src/front/give_up.rs
+++ b/crates/moleroad_gateway/src/front/give_up.rs
@@ -1,7 +1,7 @@
 //! What a caller is answered when no target brings an answer, and what of a
 //! target's answer it gets.
 
-use crate::front::answer::{Answer, AnswerBody, OwnAnswer};
+use crate::front::answer::{Answer, AnswerBody, EntryError};
 use crate::front::attempt::Attempts;
 use crate::front::exchange::{Reply, is_promise};
 use crate::front::request::forwarded;
@@ -30,31 +30,31 @@
         }
         if self.may_have_run {
             return match reason {
-                GiveUp::TimeOver => OwnAnswer::TimedOut.response(None),
+                GiveUp::TimeOver => EntryError::TimedOut.response(None),
                 _ if self.node.clock.now() + LEAST_USEFUL_MS > self.request.until => {
-                    OwnAnswer::TimedOut.response(None)
+                    EntryError::TimedOut.response(None)
                 }
-                _ => OwnAnswer::Broken.response(None),
+                _ => EntryError::Broken.response(None),
             };
         }
         match reason {
             GiveUp::NoPlace(no_place) => {
                 let own = match no_place.cause {
-                    NoPlaceCause::Busy => OwnAnswer::NoPlace,
-                    NoPlaceCause::Evacuated => OwnAnswer::AllEvacuated,
-                    NoPlaceCause::Quarantined => OwnAnswer::Quarantined,
-                    NoPlaceCause::TurnedAway => OwnAnswer::TurnedAway,
-                    NoPlaceCause::Resting => OwnAnswer::AllRest,
-                    NoPlaceCause::DisjointRegions => OwnAnswer::NoCommonRegion,
-                    NoPlaceCause::EmptyRegions(_) => OwnAnswer::NoAllowedTarget,
+                    NoPlaceCause::Busy => EntryError::NoPlace,
+                    NoPlaceCause::Evacuated => EntryError::AllEvacuated,
+                    NoPlaceCause::Quarantined => EntryError::Quarantined,
+                    NoPlaceCause::TurnedAway => EntryError::TurnedAway,
+                    NoPlaceCause::Resting => EntryError::AllBackingOff,
+                    NoPlaceCause::DisjointRegions => EntryError::NoCommonRegion,
+                    NoPlaceCause::EmptyRegions(_) => EntryError::NoAllowedTarget,
                 };
                 own.response(Some(no_place.retry_after_ms))
             }
-            GiveUp::TimeOver => OwnAnswer::TooLateNotRun.response(Some(0)),
+            GiveUp::TimeOver => EntryError::DeadlinePassedNotRun.response(Some(0)),
             GiveUp::NotAgain => {
                 let ask = self.ask();
                 let back_in_ms = turned_away_retry_ms(&self.node, &self.node.view(), &ask);
-                OwnAnswer::TurnedAway.response(Some(back_in_ms))
+                EntryError::TurnedAway.response(Some(back_in_ms))
             }
         }
     }
@@ -62,7 +62,7 @@
     fn failed_answer(&self, reply: Reply, body: Bytes) -> Answer {
         // Callers would take the status as a promise that nothing ran.
         if is_promise(reply.status) {
-            return OwnAnswer::Broken.response(None);
+            return EntryError::Broken.response(None);
         }
         let answer = passed_on(&reply, AnswerBody::Whole(Some(body)));
         reply.keep_connection(&self.node);
--- a/crates/moleroad_gateway/src/front/request.rs
+++ b/crates/moleroad_gateway/src/front/request.rs
@@ -1,6 +1,6 @@
 //! Reading and checking a caller's request.
 
-use crate::front::answer::OwnAnswer;
+use crate::front::answer::EntryError;
 use crate::node::Node;
 use bytes::{Bytes, BytesMut};
 use http_body_util::{BodyExt, Limited};
@@ -65,20 +65,20 @@
     node: &Node,
     request: Request<Incoming>,
     arrived: Millis,
-) -> Result<Accepted, OwnAnswer> {
+) -> Result<Accepted, EntryError> {
     let Some(table) = node.view().table.clone() else {
-        return Err(OwnAnswer::NoConfiguration);
+        return Err(EntryError::NoConfiguration);
     };
     let (head, body) = request.into_parts();
     let names = node.interface.headers();
-    let host = host_of(&head.headers, &head.uri).ok_or(OwnAnswer::BadRequest)?;
+    let host = host_of(&head.headers, &head.uri).ok_or(EntryError::BadRequest)?;
     let path = head.uri.path();
-    let route = table.find(&host, path).ok_or(OwnAnswer::NoRoute)?.clone();
+    let route = table.find(&host, path).ok_or(EntryError::NoRoute)?.clone();
     let key = head.headers.get(&names.key);
     let account = account_of(&table, &route, key)?;
     let id = head.headers.get(&names.request_id).cloned();
     let id = id.unwrap_or_else(|| HeaderValue::from_static("-"));
-    let weighted = RouteTable::service_of(&route, rand::random()).ok_or(OwnAnswer::NoRoute)?;
+    let weighted = RouteTable::service_of(&route, rand::random()).ok_or(EntryError::NoRoute)?;
     let service = weighted.service.clone();
     let deadline_ms = number(head.headers.get(&names.deadline_ms));
     let hold_ms = route.timeout_ms.min(LONGEST_HOLD_MS);
@@ -100,7 +100,7 @@
     headers.remove(&names.expected_target);
     headers.remove(&names.expected_version);
     if !headers.contains_key(HOST) {
-        let value = HeaderValue::from_str(&host).map_err(|_| OwnAnswer::BadRequest)?;
+        let value = HeaderValue::from_str(&host).map_err(|_| EntryError::BadRequest)?;
         headers.insert(HOST, value);
     }
     let body = read_body(body, &table, arrived, node).await?;
@@ -141,11 +141,11 @@
     table: &RouteTable,
     route: &Route,
     key: Option<&HeaderValue>,
-) -> Result<Option<Arc<ClientAccount>>, OwnAnswer> {
+) -> Result<Option<Arc<ClientAccount>>, EntryError> {
     let key = key.and_then(|key| key.to_str().ok());
     let account = key.and_then(|key| table.account_of(key)).cloned();
     if table.needs_key() && !route.public && account.is_none() {
-        return Err(OwnAnswer::UnknownKey);
+        return Err(EntryError::UnknownKey);
     }
     Ok(account)
 }
@@ -197,11 +197,11 @@
     table: &RouteTable,
     arrived: Millis,
     node: &Node,
-) -> Result<Bytes, OwnAnswer> {
+) -> Result<Bytes, EntryError> {
     let limits = table.limits();
     let expected = body.size_hint().lower();
     if expected > limits.max_body_bytes as u64 {
-        return Err(OwnAnswer::TooLarge);
+        return Err(EntryError::TooLarge);
     }
     if body.is_end_stream() {
         return Ok(Bytes::new());
@@ -210,11 +210,11 @@
     let reading = collect(Limited::new(body, limits.max_body_bytes));
     match tokio::time::timeout_at(until, reading).await {
         Ok(result) => result,
-        Err(_) => Err(OwnAnswer::TooSlow),
+        Err(_) => Err(EntryError::BodyTimeout),
     }
 }
 
-async fn collect(mut body: Limited<Incoming>) -> Result<Bytes, OwnAnswer> {
+async fn collect(mut body: Limited<Incoming>) -> Result<Bytes, EntryError> {
     let mut bytes = BytesMut::new();
     while let Some(frame) = body.frame().await {
         match frame {
@@ -224,9 +224,9 @@
                 }
             }
             Err(error) if error.is::<http_body_util::LengthLimitError>() => {
-                return Err(OwnAnswer::TooLarge);
+                return Err(EntryError::TooLarge);
             }
-            Err(_) => return Err(OwnAnswer::BadRequest),
+            Err(_) => return Err(EntryError::BadRequest),
         }
     }
     Ok(bytes.freeze())
--- a/crates/moleroad_gateway/src/front/sends.rs
+++ b/crates/moleroad_gateway/src/front/sends.rs
@@ -44,13 +44,13 @@
 
     /// True the first time it is called before anything was sent: whether a place
     /// was found in time is then to be counted.
-    pub fn claim_in_time_note(&mut self) -> bool {
+    pub fn claim_in_time_count(&mut self) -> bool {
         self.made == 0 && !std::mem::replace(&mut self.noted_in_time, true)
     }
 
     /// True the first time it is called before anything was sent: the first place
     /// is then to be counted.
-    pub fn claim_first_note(&mut self) -> bool {
+    pub fn claim_first_count(&mut self) -> bool {
         self.made == 0 && !std::mem::replace(&mut self.noted_first, true)
     }
 }
--- a/crates/moleroad_gateway/src/front/serve.rs
+++ b/crates/moleroad_gateway/src/front/serve.rs
@@ -1,10 +1,10 @@
 //! Taking callers' connections.
 
-use crate::front::answer::{Answer, OwnAnswer, close_after};
+use crate::front::answer::{Answer, EntryError, close_after};
 use crate::front::attempt::Sent;
 use crate::front::request::Accepted;
 use crate::front::{request, stream, whole};
-use crate::listening::serve_each;
+use crate::listening::accept_connections;
 use crate::node::Node;
 use crate::trial;
 use hyper::Request;
@@ -24,7 +24,7 @@
 
 /// Takes connections until the process ends.
 pub async fn serve(node: Arc<Node>, listener: TcpListener) {
-    serve_each(listener, |connection| {
+    accept_connections(listener, |connection| {
         serve_connection(node.clone(), connection)
     })
     .await;
@@ -72,7 +72,7 @@
     let mut description = None;
     let mut answer = match result {
         Err(own) => own.response(own_retry_after(own)),
-        Ok(_) if node.requests_stopped() => OwnAnswer::Leaving.response(Some(0)),
+        Ok(_) if node.requests_stopped() => EntryError::Leaving.response(Some(0)),
         Ok(mut accepted) => {
             accepted.is_trial = trial::is_granted(&node, &accepted).await;
             description = Some(Description::of(&accepted));
@@ -97,10 +97,10 @@
     Ok(answer)
 }
 
-fn own_retry_after(own: OwnAnswer) -> Option<u64> {
+fn own_retry_after(own: EntryError) -> Option<u64> {
     match own {
-        OwnAnswer::NoConfiguration => Some(NO_CONFIGURATION_RETRY_MS),
-        OwnAnswer::TooSlow => Some(0),
+        EntryError::NoConfiguration => Some(NO_CONFIGURATION_RETRY_MS),
+        EntryError::BodyTimeout => Some(0),
         _ => None,
     }
 }
@@ -125,7 +125,7 @@
 }
 
 fn count_residency(node: &Node, answer: &Answer, description: &Description) {
-    let own = answer.extensions().get::<OwnAnswer>();
+    let own = answer.extensions().get::<EntryError>();
     let outcome = own.map_or("from_target", |own| own.outcome());
     let regions = if description.is_restricted {
         "restricted"
@@ -167,7 +167,7 @@
         route = route,
         configuration = config_version,
         status = status,
-        result = answer.extensions().get::<OwnAnswer>().map_or("-", |own| own.parts().1),
+        result = answer.extensions().get::<EntryError>().map_or("-", |own| own.parts().1),
         elapsed_ms = elapsed_ms,
         target = sent.map_or("-", |sent| sent.target.as_str()),
         sends = sent.map_or(0, |sent| sent.send),
--- a/crates/moleroad_gateway/src/front/stream.rs
+++ b/crates/moleroad_gateway/src/front/stream.rs
@@ -1,7 +1,7 @@
 //! Streams of events: passed on as they come, resumed at another target under
 //! the head of the first one, or ended so that they do not look complete.
 
-use crate::front::answer::{Answer, AnswerBody, OwnAnswer};
+use crate::front::answer::{Answer, AnswerBody, EntryError};
 use crate::front::attempt::{Attempts, LOOK_FOR_OTHERS, Running};
 use crate::front::breaks::Progress;
 use crate::front::events::EventSplitter;
@@ -72,7 +72,7 @@
                 }
                 running.place.ended(Outcome::Broken);
                 attempts.broke_off();
-                splitter.drop_rest();
+                splitter.discard_partial_event();
                 if !attempts.is_idempotent() {
                     return attempts.give_up(GiveUp::NotAgain);
                 }
@@ -94,7 +94,7 @@
                 attempts.note_break(&running.place, Progress::PartOfBody);
             }
             running.place.ended(Outcome::Broken);
-            OwnAnswer::Broken.response(None)
+            EntryError::Broken.response(None)
         }
     }
 }
@@ -136,7 +136,7 @@
             Err(_) => {
                 let now = Instant::now();
                 let is_silent = now >= silent_at && attempts.can_move(attempts.sends());
-                if now >= until || is_silent || attempts.is_unwanted(&running.place) {
+                if now >= until || is_silent || attempts.is_start_forbidden(&running.place) {
                     return First::Broken(BrokenBy::Entry);
                 }
             }
@@ -152,7 +152,7 @@
                     return First::Broken(BrokenBy::Entry);
                 }
             }
-            Ok(None) if !splitter.has_rest() => return First::Complete,
+            Ok(None) if !splitter.has_partial_event() => return First::Complete,
             _ => return First::Broken(BrokenBy::Target),
         }
     }
@@ -217,7 +217,7 @@
                     running.place.ended(broken_outcome(&self.node, &running));
                     drop(running);
                     self.attempts.broke_off();
-                    self.splitter.drop_rest();
+                    self.splitter.discard_partial_event();
                     match self.resume().await {
                         Some(next) => running = next,
                         None => return self.break_off("not_resumed").await,
@@ -246,7 +246,9 @@
                     return End::Broken(BrokenBy::Entry);
                 }
                 Err(_) => look = Instant::now() + LOOK_FOR_OTHERS,
-                Ok(None) if self.splitter.has_rest() => return End::Broken(BrokenBy::Target),
+                Ok(None) if self.splitter.has_partial_event() => {
+                    return End::Broken(BrokenBy::Target);
+                }
                 Ok(None) => return End::Complete,
                 Ok(Some(Err(_))) => return End::Broken(BrokenBy::Target),
                 Ok(Some(Ok(frame))) => {
--- a/crates/moleroad_gateway/src/front/waiting.rs
+++ b/crates/moleroad_gateway/src/front/waiting.rs
@@ -53,7 +53,7 @@
         let is_about_room = in_time.as_ref().err().is_none_or(lacks_room);
         let rests = |no_place: &NoPlace| no_place.cause == NoPlaceCause::Resting;
         let may_be_late = is_about_room || in_time.as_ref().err().is_some_and(rests);
-        if is_about_room && self.sends.claim_in_time_note() {
+        if is_about_room && self.sends.claim_in_time_count() {
             self.note_in_time(in_time.is_ok());
         }
         let place = match in_time {
@@ -61,7 +61,7 @@
             Err(no_place) if is_first && may_be_late => self.overdue_place(ask, no_place).await?,
             Err(no_place) => return Err(GiveUp::NoPlace(no_place)),
         };
-        if self.sends.claim_first_note() {
+        if self.sends.claim_first_count() {
             self.note_first_send();
             let waited = self.node.clock.now().since(self.request.arrived);
             self.node.metrics.wait_s.observe(waited as f64 / 1_000.0);
--- a/crates/moleroad_gateway/src/gossip/answer.rs
+++ b/crates/moleroad_gateway/src/gossip/answer.rs
@@ -43,7 +43,7 @@
         &caller.instance,
         hello.question,
     );
-    node.metrics.count_told("sent", &news);
+    node.metrics.count_exchanged_records("sent", &news);
     let has_new_catalog = view.catalog.digest() != hello.catalog_digest;
     let tells_catalog = is_agent && has_new_catalog && !view.catalog.models.is_empty();
     let (ends, ends_cursor) = view.ends_after(now, hello.ends_after);
@@ -70,7 +70,7 @@
     let is_behind = !is_agent && hello.config_version > view.state.config_version();
     let differs = view.has_conflicting_document(hello.config_version, hello.config_digest);
     drop(view);
-    if node.settings.role.knows_all() {
+    if node.settings.role.has_full_state() {
         take::put_to_use(node, changed);
     }
     if differs {
--- a/crates/moleroad_gateway/src/gossip/hello.rs
+++ b/crates/moleroad_gateway/src/gossip/hello.rs
@@ -32,7 +32,11 @@
         catalog_digest: view.catalog.digest(),
         halls: view.hall_updates(now),
         ends,
-        ends_after: node.settings.role.knows_all().then_some(told.ends_cursor),
+        ends_after: node
+            .settings
+            .role
+            .has_full_state()
+            .then_some(told.ends_cursor),
     };
     let next = PeerState {
         ends_position,
--- a/crates/moleroad_gateway/src/gossip/mod.rs
+++ b/crates/moleroad_gateway/src/gossip/mod.rs
@@ -43,7 +43,7 @@
         let now = node.clock.now();
         let mut view = node.view();
         view.directory.expire(now);
-        node.metrics.note_records(&view.directory);
+        node.metrics.set_record_gauges(&view.directory);
         view.quarantine.suspects.expire(now);
     }
 }
@@ -59,7 +59,7 @@
     let mut view = node.view();
     let own = view.own.clone();
     view.directory.merge_daemon(now, own, 0);
-    let passes_ends_on = node.settings.role.knows_all();
+    let passes_ends_on = node.settings.role.has_full_state();
     let ends_position = passes_ends_on.then(|| view.quarantine.suspects.position());
     let greeted = lock(greeted);
     let standing = ContactPlanner {
@@ -156,7 +156,8 @@
         let mut view = node.view();
         let mut greeted = lock(greeted);
         greeted.answered(now, contact, next, answered);
-        node.metrics.count_told("received", &answer.news);
+        node.metrics
+            .count_exchanged_records("received", &answer.news);
         let own = view.own.instance.clone();
         let slots = greeted.slots(contact.address);
         let taken = view.directory.apply_delta(now, &own, answer.news, slots);
@@ -184,7 +185,7 @@
         view.update_leader(answer.leader);
         taken
     };
-    if node.settings.role.knows_all() {
+    if node.settings.role.has_full_state() {
         take::put_to_use(node, taken.changed);
     }
     if answered.has_more {
@@ -194,7 +195,7 @@
 
 /// Whether this daemon lacks a configuration that it needs, of which it was told.
 fn is_behind(node: &Node, config_version: ConfigVersion) -> bool {
-    node.settings.role.knows_all() && config_version > node.view().state.config_version()
+    node.settings.role.has_full_state() && config_version > node.view().state.config_version()
 }
 
 /// Reads the decided configuration out of the log, unless something is being fetched:
--- a/crates/moleroad_gateway/src/hall_calls.rs
+++ b/crates/moleroad_gateway/src/hall_calls.rs
@@ -3,8 +3,8 @@
 
 use crate::evacuations::HallState;
 use crate::hall_orders::{self, HallError};
+use crate::management_api::{ManagementResponse, plain};
 use crate::node::Node;
-use crate::system_calls::{SystemAnswer, plain};
 use crate::view::View;
 use hyper::header::{CONTENT_TYPE, HeaderValue};
 use hyper::{Method, StatusCode};
@@ -72,7 +72,7 @@
 }
 
 /// Answers a call.
-pub async fn answer(node: &Arc<Node>, call: HallCall) -> SystemAnswer {
+pub async fn answer(node: &Arc<Node>, call: HallCall) -> ManagementResponse {
     let (hall, ordered) = match call {
         HallCall::List => return json(StatusCode::OK, &list(node)),
         HallCall::Evacuate(hall) => {
@@ -90,7 +90,7 @@
     }
 }
 
-fn failed(error: &HallError) -> SystemAnswer {
+fn failed(error: &HallError) -> ManagementResponse {
     let text = error.to_string();
     let (code, message) = text.split_once(' ').unwrap_or(("", &text));
     let error_body = ErrorBody {
@@ -99,7 +99,7 @@
     json(error.status(), &error_body)
 }
 
-fn json(status: StatusCode, value: &impl Serialize) -> SystemAnswer {
+fn json(status: StatusCode, value: &impl Serialize) -> ManagementResponse {
     let mut answer = plain(status, serde_json::to_vec(value).unwrap_or_default());
     let kind = HeaderValue::from_static("application/json");
     answer.headers_mut().insert(CONTENT_TYPE, kind);
--- a/crates/moleroad_gateway/src/hall_updates.rs
+++ b/crates/moleroad_gateway/src/hall_updates.rs
@@ -16,7 +16,7 @@
                 return false;
             }
             view.refresh_candidates(now, &self.settings);
-            self.metrics.note_halls(&view.state.evacuations);
+            self.metrics.set_hall_gauges(&view.state.evacuations);
             changes
         };
         for change in &changes {
@@ -41,7 +41,9 @@
         );
         // Before its start a process could not know.
         let late_ms = age_ms.min(self.clock.now().since(self.began_at));
-        self.metrics.hall_news_s.observe(late_ms as f64 / 1_000.0);
+        self.metrics
+            .hall_update_age_s
+            .observe(late_ms as f64 / 1_000.0);
         if late_ms > self.settings.bounds.evacuate_ms {
             log::warn!(event = "hall_news_late", hall = hall, late_ms = late_ms; "");
         }
--- a/crates/moleroad_gateway/src/interface.rs
+++ b/crates/moleroad_gateway/src/interface.rs
@@ -44,7 +44,7 @@
 
 /// A call to the system itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum SystemCall {
+pub enum ManagementCall {
     /// Which entry should a caller in `hall` and `region` use for `host`?
     Addresses {
         /// Host that its requests name; empty when it is not said.
@@ -98,16 +98,16 @@
     /// Tokens of the prompt.
     pub prompt: u64,
     /// Most tokens of the answer.
-    pub most_answer: u64,
+    pub max_completion: u64,
 }
 
 /// How an engine that takes other weights ends what runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartMode {
     /// It waits until running requests have ended.
-    AfterRunning,
+    WaitForRunning,
     /// It cuts running requests.
-    CutRunning,
+    AbortRunning,
 }
 
 /// What an agent reads from its engine.
@@ -116,14 +116,14 @@
     /// What others are told of it.
     pub report: EngineReport,
     /// Orders that the engine took.
-    pub orders_taken: u64,
+    pub accepted_orders: u64,
     /// Whether an order is under way.
     pub busy: bool,
 }
 
 /// A call that this process makes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct OutsideCall {
+pub struct OutboundRequest {
     /// Method.
     pub method: Method,
     /// Path and query.
@@ -143,7 +143,12 @@
     fn token_usage(&self, headers: &HeaderMap) -> Option<TokenUsage>;
 
     /// Which call to the system this is.
-    fn system_call(&self, method: &Method, path: &str, query: Option<&str>) -> Option<SystemCall>;
+    fn management_call(
+        &self,
+        method: &Method,
+        path: &str,
+        query: Option<&str>,
+    ) -> Option<ManagementCall>;
 
     /// Content type of documents.
     fn document_type(&self) -> &'static str;
@@ -170,25 +175,25 @@
     fn write_error(&self, reason: &str) -> Vec<u8>;
 
     /// Asks an engine for its state.
-    fn ask_state(&self) -> OutsideCall;
+    fn request_state(&self) -> OutboundRequest;
 
     /// Reads the state of an engine.
     fn read_state(&self, body: &[u8]) -> Option<EngineState>;
 
     /// Asks an origin for the digests of a version.
-    fn ask_digests(&self, model: &str, version: u64) -> OutsideCall;
+    fn request_digests(&self, model: &str, version: u64) -> OutboundRequest;
 
     /// Reads digests.
     fn read_digests(&self, body: &[u8]) -> Option<PieceDigests>;
 
     /// Asks an origin for a piece.
-    fn ask_piece(&self, model: &str, version: u64, piece: u32) -> OutsideCall;
+    fn request_piece(&self, model: &str, version: u64, piece: u32) -> OutboundRequest;
 
     /// Puts a piece into the store of an engine.
-    fn put_staged(&self, model: &str, piece: u32, bytes: Vec<u8>) -> OutsideCall;
+    fn put_staged(&self, model: &str, piece: u32, bytes: Vec<u8>) -> OutboundRequest;
 
     /// Reads a piece from the store of an engine.
-    fn get_staged(&self, model: &str, piece: u32) -> OutsideCall;
+    fn get_staged(&self, model: &str, piece: u32) -> OutboundRequest;
 
     /// Orders an engine to take the weights in its store.
     fn order_start(
@@ -196,6 +201,6 @@
         model: &str,
         version: u64,
         mode: StartMode,
-        orders_taken: u64,
-    ) -> OutsideCall;
+        accepted_orders: u64,
+    ) -> OutboundRequest;
 }
--- a/crates/moleroad_gateway/src/listening.rs
+++ b/crates/moleroad_gateway/src/listening.rs
@@ -21,7 +21,7 @@
 }
 
 /// Serves each connection in a task of its own, until the process ends.
-pub async fn serve_each<S>(listener: TcpListener, serve: impl Fn(TcpStream) -> S)
+pub async fn accept_connections<S>(listener: TcpListener, serve: impl Fn(TcpStream) -> S)
 where
     S: Future<Output = ()> + Send + 'static,
 {
--- a/crates/moleroad_gateway/src/system_calls.rs
+++ b/crates/moleroad_gateway/src/management_api.rs
@@ -4,8 +4,8 @@
 use crate::control_state::{ConfigDocument, ControlCommand, MAX_DOCUMENT_BYTES};
 use crate::front::answer::AnswerBody;
 use crate::hall_calls::HallCall;
-use crate::interface::SystemCall;
-use crate::listening::serve_each;
+use crate::interface::ManagementCall;
+use crate::listening::accept_connections;
 use crate::node::Node;
 use crate::{hall_calls, hall_orders, operator, target_updates};
 use bytes::Bytes;
@@ -32,7 +32,7 @@
 
 /// Takes connections until the process ends.
 pub async fn serve(node: Arc<Node>, listener: TcpListener) {
-    serve_each(listener, |connection| {
+    accept_connections(listener, |connection| {
         serve_connection(node.clone(), connection)
     })
     .await;
@@ -48,29 +48,32 @@
 }
 
 /// What a call to the system is answered.
-pub(crate) type SystemAnswer = Response<AnswerBody>;
+pub(crate) type ManagementResponse = Response<AnswerBody>;
 
-async fn handle(node: Arc<Node>, request: Request<Incoming>) -> Result<SystemAnswer, Infallible> {
+async fn handle(
+    node: Arc<Node>,
+    request: Request<Incoming>,
+) -> Result<ManagementResponse, Infallible> {
     let uri = request.uri().clone();
     if let Some(call) = HallCall::read(request.method(), uri.path()) {
         return Ok(hall_calls::answer(&node, call).await);
     }
     let call = node
         .interface
-        .system_call(request.method(), uri.path(), uri.query());
+        .management_call(request.method(), uri.path(), uri.query());
     let answer = match call {
-        Some(SystemCall::Addresses { host, hall, region }) => {
+        Some(ManagementCall::Addresses { host, hall, region }) => {
             addresses(&node, &host, &hall, &region)
         }
-        Some(SystemCall::Ready) => ready(&node),
-        Some(SystemCall::Metrics) => plain(StatusCode::OK, node.metrics.render()),
-        Some(SystemCall::ReadConfiguration) => read_configuration(&node).await,
-        Some(SystemCall::Deregister(id)) => {
+        Some(ManagementCall::Ready) => ready(&node),
+        Some(ManagementCall::Metrics) => plain(StatusCode::OK, node.metrics.render()),
+        Some(ManagementCall::ReadConfiguration) => read_configuration(&node).await,
+        Some(ManagementCall::Deregister(id)) => {
             target_updates::gone(&node, &id).await;
             document(&node, StatusCode::OK, b"{}".to_vec())
         }
-        Some(SystemCall::EvacuateHall(hall)) => order_hall(&node, &hall, true).await,
-        Some(SystemCall::RestoreHall(hall)) => order_hall(&node, &hall, false).await,
+        Some(ManagementCall::EvacuateHall(hall)) => order_hall(&node, &hall, true).await,
+        Some(ManagementCall::RestoreHall(hall)) => order_hall(&node, &hall, false).await,
         Some(call) => match read(request).await {
             Some(body) => with_body(&node, call, &body).await,
             None => failure(
@@ -90,16 +93,16 @@
     Some(read.ok()?.ok()?.to_bytes())
 }
 
-async fn with_body(node: &Arc<Node>, call: SystemCall, body: &Bytes) -> SystemAnswer {
+async fn with_body(node: &Arc<Node>, call: ManagementCall, body: &Bytes) -> ManagementResponse {
     match call {
-        SystemCall::Heartbeat(id) => heartbeat(node, &id, body).await,
-        SystemCall::ReplaceConfiguration => replace_configuration(node, body).await,
-        SystemCall::NameVersion => name_version(node, body).await,
+        ManagementCall::Heartbeat(id) => heartbeat(node, &id, body).await,
+        ManagementCall::ReplaceConfiguration => replace_configuration(node, body).await,
+        ManagementCall::NameVersion => name_version(node, body).await,
         _ => failure(node, StatusCode::NOT_FOUND, "MR-6302 no such call"),
     }
 }
 
-fn addresses(node: &Node, host: &str, hall: &str, region: &str) -> SystemAnswer {
+fn addresses(node: &Node, host: &str, hall: &str, region: &str) -> ManagementResponse {
     let now = node.clock.now();
     let addresses = {
         let view = node.view();
@@ -119,7 +122,7 @@
     document(node, StatusCode::OK, body)
 }
 
-fn ready(node: &Node) -> SystemAnswer {
+fn ready(node: &Node) -> ManagementResponse {
     let is_ready = !node.is_leaving() && node.view().table.is_some();
     if is_ready {
         plain(StatusCode::OK, b"ready\n".to_vec())
@@ -128,7 +131,7 @@
     }
 }
 
-async fn heartbeat(node: &Arc<Node>, id: &str, body: &Bytes) -> SystemAnswer {
+async fn heartbeat(node: &Arc<Node>, id: &str, body: &Bytes) -> ManagementResponse {
     let Some(record) = node.interface.read_heartbeat(id, body) else {
         let reason = "MR-6304 the heartbeat cannot be read";
         return failure(node, StatusCode::BAD_REQUEST, reason);
@@ -159,7 +162,7 @@
     near.get(at).copied()
 }
 
-async fn replace_configuration(node: &Arc<Node>, body: &Bytes) -> SystemAnswer {
+async fn replace_configuration(node: &Arc<Node>, body: &Bytes) -> ManagementResponse {
     let parsed = node.interface.read_configuration(body);
     let checked = parsed.and_then(|configuration| check(&configuration).map(|()| configuration));
     let version = match checked {
@@ -172,12 +175,12 @@
     acknowledge(node, committed)
 }
 
-fn refused_configuration(node: &Node, error: &ConfigurationError) -> SystemAnswer {
+fn refused_configuration(node: &Node, error: &ConfigurationError) -> ManagementResponse {
     log::info!(event = "configuration_refused"; "{error}");
     failure(node, StatusCode::BAD_REQUEST, &error.to_string())
 }
 
-async fn name_version(node: &Arc<Node>, body: &Bytes) -> SystemAnswer {
+async fn name_version(node: &Arc<Node>, body: &Bytes) -> ManagementResponse {
     let Some(named) = node.interface.read_named_version(body) else {
         let reason = "MR-6305 the version cannot be read";
         return failure(node, StatusCode::BAD_REQUEST, reason);
@@ -190,14 +193,14 @@
     acknowledge(node, committed)
 }
 
-async fn order_hall(node: &Arc<Node>, hall: &str, evacuated: bool) -> SystemAnswer {
+async fn order_hall(node: &Arc<Node>, hall: &str, evacuated: bool) -> ManagementResponse {
     match hall_orders::order(node, hall, evacuated).await {
         Ok(_) => acknowledge(node, true),
         Err(error) => failure(node, error.status(), &error.to_string()),
     }
 }
 
-fn acknowledge(node: &Node, committed: bool) -> SystemAnswer {
+fn acknowledge(node: &Node, committed: bool) -> ManagementResponse {
     if committed {
         document(node, StatusCode::OK, b"{}".to_vec())
     } else {
@@ -206,7 +209,7 @@
     }
 }
 
-async fn read_configuration(node: &Arc<Node>) -> SystemAnswer {
+async fn read_configuration(node: &Arc<Node>) -> ManagementResponse {
     let state = operator::read(node).await;
     match state.and_then(|state| state.configuration) {
         Some(held) => match held.bytes() {
@@ -223,19 +226,19 @@
     }
 }
 
-fn document(node: &Node, status: StatusCode, body: Vec<u8>) -> SystemAnswer {
+fn document(node: &Node, status: StatusCode, body: Vec<u8>) -> ManagementResponse {
     let mut answer = plain(status, body);
     let kind = HeaderValue::from_static(node.interface.document_type());
     answer.headers_mut().insert(CONTENT_TYPE, kind);
     answer
 }
 
-fn failure(node: &Node, status: StatusCode, reason: &str) -> SystemAnswer {
+fn failure(node: &Node, status: StatusCode, reason: &str) -> ManagementResponse {
     document(node, status, node.interface.write_error(reason))
 }
 
 /// An answer without a type.
-pub(crate) fn plain(status: StatusCode, body: Vec<u8>) -> SystemAnswer {
+pub(crate) fn plain(status: StatusCode, body: Vec<u8>) -> ManagementResponse {
     let mut answer = Response::new(AnswerBody::Whole(Some(Bytes::from(body))));
     *answer.status_mut() = status;
     answer
--- a/crates/moleroad_gateway/src/metrics.rs
+++ b/crates/moleroad_gateway/src/metrics.rs
@@ -31,7 +31,7 @@
     /// Revision of each data hall that was ever evacuated.
     pub hall_revision: IntGaugeVec,
     /// Age of news of a data hall when it came here, in seconds.
-    pub hall_news_s: Histogram,
+    pub hall_update_age_s: Histogram,
     /// Requests kept away from targets of evacuated data halls, by hall.
     pub kept_away: IntCounterVec,
     /// Greetings of other daemons, by what was asked and whether it was answered.
@@ -75,7 +75,7 @@
                 &["hall"],
             )
             .expect("a sound metric"),
-            hall_news_s: latency("moleroad_hall_news_seconds", "Age of news of a data hall"),
+            hall_update_age_s: latency("moleroad_hall_news_seconds", "Age of news of a data hall"),
             kept_away: counters(
                 "moleroad_kept_away_total",
                 "Requests kept away from evacuated data halls",
@@ -118,7 +118,7 @@
             Box::new(self.wait_s.clone()),
             Box::new(self.halls_evacuated.clone()),
             Box::new(self.hall_revision.clone()),
-            Box::new(self.hall_news_s.clone()),
+            Box::new(self.hall_update_age_s.clone()),
             Box::new(self.kept_away.clone()),
             Box::new(self.greetings.clone()),
             Box::new(self.told.clone()),
@@ -146,7 +146,7 @@
 
     /// Counts the records of an answer that this daemon gave (`sent`) or got
     /// (`received`).
-    pub fn count_told(&self, direction: &str, news: &News) {
+    pub fn count_exchanged_records(&self, direction: &str, news: &News) {
         for (kind, count) in [
             ("daemon", news.daemons.len()),
             ("load", news.loads.len()),
@@ -158,7 +158,7 @@
     }
 
     /// Shows how many records this daemon holds.
-    pub fn note_records(&self, directory: &Directory) {
+    pub fn set_record_gauges(&self, directory: &Directory) {
         for (kind, count) in [
             ("daemon", directory.daemon_count()),
             ("target", directory.target_count()),
@@ -168,7 +168,7 @@
     }
 
     /// Shows which data halls are evacuated.
-    pub fn note_halls(&self, evacuations: &Evacuations) {
+    pub fn set_hall_gauges(&self, evacuations: &Evacuations) {
         let evacuated = evacuations.iter().filter(|(_, state)| state.evacuated);
         self.halls_evacuated.set(evacuated.count() as i64);
         for (hall, state) in evacuations.iter() {
--- a/crates/moleroad_gateway/src/operator.rs
+++ b/crates/moleroad_gateway/src/operator.rs
@@ -71,7 +71,7 @@
 
 /// Asks for the trial of a request; true once it is certain that this copy was
 /// granted.
-pub async fn ask_trial(node: &Arc<Node>, wanted: TrialOrder) -> bool {
+pub async fn request_trial(node: &Arc<Node>, wanted: TrialOrder) -> bool {
     // Whether it was granted to this copy or to another, the leader tells.
     let until = node.clock.now() + ANSWER_MS;
     order(node, &ControlCommand::TryRequest(wanted.clone()), until).await;
@@ -119,7 +119,7 @@
     timeout_ms: u64,
 ) -> CommitAnswer {
     if address == node.settings.peer_address() {
-        let proposing = propose_here(node, command.clone());
+        let proposing = propose_locally(node, command.clone());
         let limit = Duration::from_millis(timeout_ms);
         let answer = tokio::time::timeout(limit, proposing).await;
         return answer.unwrap_or(CommitAnswer::Unknown);
@@ -137,7 +137,7 @@
 }
 
 /// Proposes a change at the member of this process.
-pub async fn propose_here(node: &Node, command: ControlCommand) -> CommitAnswer {
+pub async fn propose_locally(node: &Node, command: ControlCommand) -> CommitAnswer {
     let Some(core) = &node.core else {
         return CommitAnswer::NotLeader(node.leader_hint());
     };
@@ -188,7 +188,7 @@
     timeout_ms: u64,
 ) -> Result<ControlState, Option<LeaderHint>> {
     if address == node.settings.peer_address() {
-        return read_here(node).await;
+        return read_locally(node).await;
     }
     let timeout = Duration::from_millis(timeout_ms);
     let call = |client: crate::peer::PeerClient, context| async move { client.read(context).await };
@@ -202,7 +202,7 @@
 ///
 /// # Errors
 /// The leader as far as it is known.
-pub async fn read_here(node: &Node) -> Result<ControlState, Option<LeaderHint>> {
+pub async fn read_locally(node: &Node) -> Result<ControlState, Option<LeaderHint>> {
     let Some(core) = &node.core else {
         return Err(node.leader_hint());
     };
--- a/crates/moleroad_gateway/src/peer_server.rs
+++ b/crates/moleroad_gateway/src/peer_server.rs
@@ -3,7 +3,7 @@
 use crate::control_member::MemberInput;
 use crate::control_state::{ControlCommand, ControlState};
 use crate::halls::Source;
-use crate::listening::serve_each;
+use crate::listening::accept_connections;
 use crate::node::Node;
 use crate::operator;
 use crate::peer::{
@@ -25,7 +25,7 @@
 
 /// Takes connections of other daemons until the process ends.
 pub async fn serve(node: Arc<Node>, listener: TcpListener) {
-    serve_each(listener, |connection| {
+    accept_connections(listener, |connection| {
         serve_connection(node.clone(), connection)
     })
     .await;
@@ -68,11 +68,11 @@
     }
 
     async fn propose(self, _: Context, command: ControlCommand) -> CommitAnswer {
-        operator::propose_here(&self.node, command).await
+        operator::propose_locally(&self.node, command).await
     }
 
     async fn read(self, _: Context) -> Result<ControlState, Option<LeaderHint>> {
-        operator::read_here(&self.node).await
+        operator::read_locally(&self.node).await
     }
 
     async fn push(self, _: Context, state: ControlState) {
--- a/crates/moleroad_gateway/src/run.rs
+++ b/crates/moleroad_gateway/src/run.rs
@@ -9,11 +9,11 @@
 use crate::halls::Source;
 use crate::interface::Interface;
 use crate::listening::listen;
+use crate::management_api;
 use crate::node::Node;
 use crate::peer::LeaderHint;
 use crate::peer_server;
 use crate::settings::{RoleSetting, Settings};
-use crate::system_calls;
 use crate::view::View;
 use moleroad_consensus::prelude::{Configuration, MemberId, MemberInfo, Message};
 use moleroad_directory::relays::MIN_RELAYS;
@@ -115,7 +115,7 @@
     addresses.sort();
     addresses.dedup();
     for address in addresses {
-        tokio::spawn(system_calls::serve(node.clone(), listen(address)?));
+        tokio::spawn(management_api::serve(node.clone(), listen(address)?));
     }
     tokio::spawn(carry_out(node.clone(), outputs));
     Ok(())
--- a/crates/moleroad_gateway/src/settings.rs
+++ b/crates/moleroad_gateway/src/settings.rs
@@ -43,7 +43,7 @@
 impl RoleSetting {
     /// Whether the process knows all targets and the whole configuration, so
     /// that targets and operators may call it.
-    pub fn knows_all(self) -> bool {
+    pub fn has_full_state(self) -> bool {
         self != RoleSetting::Agent
     }
 }
--- a/crates/moleroad_gateway/src/trial.rs
+++ b/crates/moleroad_gateway/src/trial.rs
@@ -44,7 +44,7 @@
         at: node.clock.unix_time(),
     };
     let limit = Duration::from_millis((left_ms as f64 * ASKING_SHARE) as u64);
-    let asking = operator::ask_trial(node, order);
+    let asking = operator::request_trial(node, order);
     let is_granted = tokio::time::timeout(limit, asking).await.unwrap_or(false);
     node.metrics.count(if is_granted {
         "trial_granted"
--- a/crates/moleroad_gateway/tests/entries.rs
+++ b/crates/moleroad_gateway/tests/entries.rs
@@ -16,8 +16,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use support::{
-    add_target, ask, entry, entry_that_begins_again, entry_with_configuration, entry_with_disk,
-    evacuate, folder, in_flight, request,
+    add_target, ask, entry, entry_with_configuration, entry_with_disk, evacuate, folder, in_flight,
+    request, restarted_entry,
 };
 
 /// Longer than a process may go without a look at the clock.
@@ -69,7 +69,7 @@
 
 #[tokio::test]
 async fn an_entry_with_old_state_begins_by_waiting_for_news_for_a_bounded_time() {
-    let node = entry_that_begins_again("begins").await;
+    let node = restarted_entry("begins").await;
     let lacks_news = |node: &Node| node.standstill().waits_for_news(node.began_at);
     assert!(lacks_news(&node));
     assert!(!node.standstill().may_read_backlog(node.began_at));
@@ -77,7 +77,7 @@
     node.catch_up_after_suspension().await;
     assert!(node.clock.now().since(node.began_at) >= 1_000);
 
-    let node = entry_that_begins_again("begins-and-hears").await;
+    let node = restarted_entry("begins-and-hears").await;
     node.standstill().heard(node.clock.now());
     assert!(!lacks_news(&node));
 
@@ -88,7 +88,7 @@
 
 #[tokio::test]
 async fn an_answer_counts_as_news_only_once_what_it_tells_of_was_fetched() {
-    let node = entry_that_begins_again("fetches").await;
+    let node = restarted_entry("fetches").await;
     let other = entry_with_configuration();
     evacuate(&other, "hall-a");
     node.replace_seeds(vec![other.settings.peer_address()]);
@@ -134,15 +134,15 @@
 fn a_repeat_is_taken_once_for_each_send_that_is_made() {
     let mut sends = Sends::default();
     assert!(sends.is_first() && !sends.needs_repeat());
-    assert!(sends.claim_in_time_note() && sends.claim_first_note());
+    assert!(sends.claim_in_time_count() && sends.claim_first_count());
     // The place was given back before anything went out.
-    assert!(!sends.claim_in_time_note() && !sends.claim_first_note());
+    assert!(!sends.claim_in_time_count() && !sends.claim_first_count());
     assert!(sends.is_first() && !sends.needs_repeat());
     sends.reached_target();
     assert!(sends.made() == 1 && sends.needs_repeat());
     sends.took_repeat();
     assert!(!sends.needs_repeat(), "nothing was sent by it yet");
-    assert!(!sends.claim_in_time_note() && !sends.claim_first_note());
+    assert!(!sends.claim_in_time_count() && !sends.claim_first_count());
     sends.reached_target();
     assert!(sends.made() == 2 && sends.needs_repeat());
 }
--- a/crates/moleroad_gateway/tests/parts.rs
+++ b/crates/moleroad_gateway/tests/parts.rs
@@ -34,7 +34,7 @@
         }
         assert_eq!(out, text.as_bytes(), "in steps of {step}");
         assert_eq!(splitter.last_id().map(|id| &id[..]), Some(&b"3"[..]));
-        assert!(!splitter.has_rest());
+        assert!(!splitter.has_partial_event());
     }
 }
 
@@ -45,8 +45,8 @@
         &splitter.push(b"id: 1\ndata: a\n\nid: 2\nda")[..],
         b"id: 1\ndata: a\n\n"
     );
-    assert!(splitter.has_rest());
-    splitter.drop_rest();
+    assert!(splitter.has_partial_event());
+    splitter.discard_partial_event();
     // The other target begins with an event that was brought already.
     let resumed = splitter.push(b"id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
     assert_eq!(&resumed[..], b"id: 2\ndata: b\n\n");
@@ -308,19 +308,19 @@
 
 #[test]
 fn every_answer_of_our_own_stands_in_the_table_with_its_status() {
-    use moleroad_gateway::front::answer::OwnAnswer::*;
+    use moleroad_gateway::front::answer::EntryError::*;
     let rows = result_rows();
     let all = [
         NoConfiguration,
         NoRoute,
         UnknownKey,
         BadRequest,
-        TooSlow,
+        BodyTimeout,
         TooLarge,
         NoPlace,
         Leaving,
         TurnedAway,
-        TooLateNotRun,
+        DeadlinePassedNotRun,
         Broken,
         TimedOut,
     ];
--- a/crates/moleroad_gateway/tests/quarantine.rs
+++ b/crates/moleroad_gateway/tests/quarantine.rs
@@ -94,9 +94,9 @@
     let node = entry();
     let attempts = Attempts::new(node.clone(), request(&node, 1_500));
     let place = acquire(&node, &ask(&node, None)).await.expect("a place");
-    assert!(!attempts.is_unwanted(&place));
+    assert!(!attempts.is_start_forbidden(&place));
     hear(&node, TERMINATIONS_TO_HOLD);
-    assert!(attempts.is_unwanted(&place));
+    assert!(attempts.is_start_forbidden(&place));
 }
 
 #[tokio::test]
@@ -181,7 +181,7 @@
     tried.is_trial = true;
     let place = acquire(&node, &tried).await.expect("a place");
     let attempts = Attempts::new(node.clone(), first);
-    assert!(!attempts.is_unwanted(&place));
+    assert!(!attempts.is_start_forbidden(&place));
 }
 
 #[tokio::test]
--- a/crates/moleroad_gateway/tests/support/mod.rs
+++ b/crates/moleroad_gateway/tests/support/mod.rs
@@ -122,7 +122,7 @@
 }
 
 /// An entry whose disk holds what an earlier life left there.
-pub async fn entry_that_begins_again(name: &str) -> Arc<Node> {
+pub async fn restarted_entry(name: &str) -> Arc<Node> {
     let folder = folder(name);
     let earlier = entry_with_disk(&folder);
     let core = earlier.core.clone().unwrap();
--- a/crates/moleroad_gateway/tests/support/outside.rs
+++ b/crates/moleroad_gateway/tests/support/outside.rs
@@ -42,7 +42,7 @@
     fn token_usage(&self, _: &HeaderMap) -> Option<TokenUsage> {
         None
     }
-    fn system_call(&self, _: &Method, _: &str, _: Option<&str>) -> Option<SystemCall> {
+    fn management_call(&self, _: &Method, _: &str, _: Option<&str>) -> Option<ManagementCall> {
         None
     }
     fn document_type(&self) -> &'static str {
@@ -66,28 +66,28 @@
     fn write_error(&self, _: &str) -> Vec<u8> {
         unreachable!()
     }
-    fn ask_state(&self) -> OutsideCall {
+    fn request_state(&self) -> OutboundRequest {
         unreachable!()
     }
     fn read_state(&self, _: &[u8]) -> Option<EngineState> {
         None
     }
-    fn ask_digests(&self, _: &str, _: u64) -> OutsideCall {
+    fn request_digests(&self, _: &str, _: u64) -> OutboundRequest {
         unreachable!()
     }
     fn read_digests(&self, _: &[u8]) -> Option<PieceDigests> {
         None
     }
-    fn ask_piece(&self, _: &str, _: u64, _: u32) -> OutsideCall {
+    fn request_piece(&self, _: &str, _: u64, _: u32) -> OutboundRequest {
         unreachable!()
     }
-    fn put_staged(&self, _: &str, _: u32, _: Vec<u8>) -> OutsideCall {
+    fn put_staged(&self, _: &str, _: u32, _: Vec<u8>) -> OutboundRequest {
         unreachable!()
     }
-    fn get_staged(&self, _: &str, _: u32) -> OutsideCall {
+    fn get_staged(&self, _: &str, _: u32) -> OutboundRequest {
         unreachable!()
     }
-    fn order_start(&self, _: &str, _: u64, _: StartMode, _: u64) -> OutsideCall {
+    fn order_start(&self, _: &str, _: u64, _: StartMode, _: u64) -> OutboundRequest {
         unreachable!()
     }
 }
