--- a/crates/moleroad_dispatch/benches/choose.rs
+++ b/crates/moleroad_dispatch/benches/choose.rs
@@ -1,4 +1,4 @@
-//! What a choice among 600 targets costs, with and without restricted regions.
+//! Cost of a choice among 600 targets, with and without restricted regions.
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use moleroad_directory::prelude::TargetId;
@@ -35,7 +35,7 @@
     }
 }
 
-/// Targets of which each has a few requests in flight.
+/// Returns targets that each have a few requests in flight.
 fn loaded_targets() -> Targets {
     let mut targets = Targets::default();
     targets.set((0..TARGETS).map(target).collect());
--- a/crates/moleroad_dispatch/benches/grant.rs
+++ b/crates/moleroad_dispatch/benches/grant.rs
@@ -1,5 +1,5 @@
-//! What giving a grant costs an agent, and what telling its part of a target
-//! costs an entry.
+//! Cost for an agent to give a grant, and for an entry to compute its quota of a
+//! target.
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use moleroad_dispatch::prelude::*;
@@ -23,7 +23,7 @@
         let entries: Vec<&str> = names.iter().map(String::as_str).collect();
         let division = Division::of(bound);
         c.bench_function(&format!("own part of a target among {count}"), |b| {
-            b.iter(|| division.part_of("entry-7", black_box(&entries), "target"));
+            b.iter(|| division.quota_of("entry-7", black_box(&entries), "target"));
         });
     }
 }
--- a/crates/moleroad_dispatch/src/admission.rs
+++ b/crates/moleroad_dispatch/src/admission.rs
@@ -1,4 +1,4 @@
-//! How a request may go to a target that may be cold, or that named a limit.
+//! Admission of requests to targets that may be cold or that have named a rate limit.
 
 use crate::candidate::{Candidate, Requirements};
 use crate::cold::Admission;
@@ -8,34 +8,34 @@
 use moleroad_directory::prelude::TargetId;
 use moleroad_types::prelude::Millis;
 
-/// Added to the slowness of a cold target, where 1 is as usual: prompts that it
-/// reads for the first time take about twice as long.
+/// Added to the slowness of a cold target, where 1 is normal: prefilling its first
+/// prompts takes about twice as long.
 pub const COLD_SLOWNESS: f64 = 1.0;
 
 impl Targets {
-    /// Takes that the agent beside a target counts it as cold.
+    /// Records that the target's agent considers it cold until `until`.
     pub fn agent_reported_cold(&mut self, id: &TargetId, until: Millis) {
         let load = self.loads.entry(id.clone()).or_default();
         load.agent_reported_cold(until);
     }
 
-    /// Until when a target counts as cold; `None` while it does not.
+    /// Returns until when a target counts as cold; `None` if it is not cold.
     pub fn cold_until(&self, now: Millis, candidate: &Candidate) -> Option<Millis> {
         let cold = candidate.cold.as_deref()?;
         let until = cold.until.max(self.load(&candidate.id).cold_until());
         (until > now).then_some(until)
     }
 
-    /// How a request may go to a target now.
+    /// Returns on what condition a request may be sent to a target now.
     pub fn admission(&self, now: Millis, candidate: &Candidate) -> Admission {
-        let while_cold = self.admission_while_cold(now, candidate);
+        let while_cold = self.cold_admission(now, candidate);
         match &candidate.limit {
             Some(_) => while_cold.max(Admission::Grant),
             None => while_cold,
         }
     }
 
-    fn admission_while_cold(&self, now: Millis, candidate: &Candidate) -> Admission {
+    fn cold_admission(&self, now: Millis, candidate: &Candidate) -> Admission {
         let Some(cold) = candidate.cold.as_deref() else {
             return Admission::Unrestricted;
         };
@@ -43,7 +43,7 @@
             return Admission::Unrestricted;
         }
         if cold.requires_grant {
-            // An agent that is not heard of may grant to other entries.
+            // An agent unknown to this entry may be granting to other entries.
             return match candidate.agent {
                 Some(_) => Admission::Grant,
                 None => Admission::Denied,
@@ -58,11 +58,11 @@
         }
     }
 
-    /// Whether a send to a target that was chosen may begin now, by what is known
-    /// now: its grant or part has not lapsed, and one that turned cold or named a
-    /// limit since it was chosen has one.
+    /// Returns whether a send to a previously chosen target may still start. Checks
+    /// against the current state: the grant or quota reservation has not expired, and a
+    /// target that turned cold or named a limit since it was chosen has one.
     pub fn may_begin(&self, now: Millis, chosen: &Candidate) -> bool {
-        // `None`: it was chosen without a grant or a part.
+        // `None`: it was chosen without a grant or a quota reservation.
         let in_time = chosen.granted_until.map(|until| now <= until);
         let Some(known) = self.candidate(&chosen.id) else {
             return false;
@@ -70,7 +70,7 @@
         if in_time == Some(false) {
             return false;
         }
-        if !self.is_bounded(now, known) {
+        if !self.is_rate_limited(now, known) {
             return true;
         }
         if in_time.is_none() || (known.limit.is_some() && chosen.limit.is_none()) {
@@ -81,7 +81,7 @@
         }
         let is_by_grant =
             |candidate: &Candidate| candidate.cold.as_deref().map(|cold| cold.requires_grant);
-        // Room is not looked at again: this send is counted toward the part already.
+        // The quota is not checked again: this send already counts against it.
         let is_open = match known.cold.as_deref() {
             Some(cold) if !cold.requires_grant => cold.part > 0 && now >= cold.quota_from,
             _ => self.admission(now, known) == Admission::Grant,
@@ -89,14 +89,15 @@
         is_by_grant(chosen) == is_by_grant(known) && is_open
     }
 
-    /// Whether the target takes so many requests a second now, as it is cold or named
-    /// a limit.
-    pub fn is_bounded(&self, now: Millis, candidate: &Candidate) -> bool {
-        self.rate_now(now, candidate).is_some()
+    /// Returns whether the target's request rate is limited now, because it is cold or
+    /// has named a limit.
+    pub fn is_rate_limited(&self, now: Millis, candidate: &Candidate) -> bool {
+        self.current_rate_limit(now, candidate).is_some()
     }
 
-    /// Requests a second that the target takes now; `None` while any number.
-    fn rate_now(&self, now: Millis, candidate: &Candidate) -> Option<f64> {
+    /// Returns how many requests per second the target accepts now; `None` if
+    /// unlimited.
+    fn current_rate_limit(&self, now: Millis, candidate: &Candidate) -> Option<f64> {
         let cold = candidate.cold.as_deref();
         let cold = cold.filter(|_| self.cold_until(now, candidate).is_some());
         let while_cold = cold.map(|cold| cold.bound.requests_per_s);
@@ -110,20 +111,20 @@
             .min_by(f64::total_cmp)
     }
 
-    /// How soon one more request can be sent while all targets that serve it
-    /// are bounded, in milliseconds; `None` while some is not.
+    /// Returns the average interval between sends, in milliseconds, while every
+    /// eligible target is rate limited; `None` if any of them is not.
     pub fn rate_limited_interval_ms(&self, now: Millis, needs: Requirements<'_>) -> Option<f64> {
         let serving = || {
             self.candidates
                 .iter()
                 .filter(|c| barrier(c, needs).is_none())
         };
-        let rates = serving().map(|candidate| self.rate_now(now, candidate));
+        let rates = serving().map(|candidate| self.current_rate_limit(now, candidate));
         let per_s: f64 = rates.sum::<Option<f64>>()?;
         (per_s > 0.0).then_some(1_000.0 / per_s)
     }
 
-    pub(crate) fn goes_unasked(&self, now: Millis, candidate: &Candidate) -> bool {
+    pub(crate) fn needs_no_grant(&self, now: Millis, candidate: &Candidate) -> bool {
         let admission = self.admission(now, candidate);
         matches!(admission, Admission::Unrestricted | Admission::Quota)
     }
--- a/crates/moleroad_dispatch/src/candidate.rs
+++ b/crates/moleroad_dispatch/src/candidate.rs
@@ -1,4 +1,4 @@
-//! A target that may get requests, and what a request asks of it.
+//! Candidate targets, and what a request requires of a target.
 
 use crate::cold::ColdTarget;
 use crate::limit::LimitedTarget;
@@ -7,26 +7,26 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// How far a target is from this entry.
+/// Network distance of a target from this entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Distance {
     /// In the same data hall.
     SameHall,
-    /// In another data hall of the region.
+    /// In another data hall of the same region.
     SameRegion,
     /// In another region.
     OtherRegion,
 }
 
-/// What another data hall of the region costs, in milliseconds: the way there and
-/// back.
+/// Cost of a target in another data hall of the region, in milliseconds: the round
+/// trip.
 const SAME_REGION_COST_MS: f64 = 4.0;
-/// What another region costs, in milliseconds: the way there and back, and the
-/// price of the bytes that cross, as a time.
+/// Cost of a target in another region, in milliseconds: the round trip, plus the price
+/// of cross-region traffic expressed as time.
 const OTHER_REGION_COST_MS: f64 = 15.0;
 
 impl Distance {
-    /// What the way costs, as a time in milliseconds.
+    /// Returns the cost of this distance, as a time in milliseconds.
     pub(crate) fn cost_ms(self) -> f64 {
         match self {
             Distance::SameHall => 0.0,
@@ -43,52 +43,54 @@
     pub id: TargetId,
     /// Address.
     pub address: SocketAddr,
-    /// Requests it works on at once.
+    /// Requests that it processes concurrently.
     pub slots: u32,
-    /// Most requests this entry may have there at once.
+    /// Maximum number of requests that this entry may have in flight there.
     pub max_own: u32,
-    /// Places there that belong to this entry when it is nearly full.
+    /// Slots reserved for this entry when the target is nearly full.
     pub share: u32,
-    /// How far it is.
+    /// Network distance from this entry.
     pub distance: Distance,
-    /// Region that it stands in.
+    /// Region of the target.
     pub region: Region,
     /// Whether its data hall is evacuated, so that it gets no requests.
     pub evacuated: bool,
-    /// Version of the weights that it holds whole; `None` for plain targets.
+    /// Version of the weights that it holds completely; `None` for targets without
+    /// weights.
     pub version: Option<u64>,
-    /// Whether it is about to change its weights.
+    /// Whether it is about to switch to other weights.
     pub switching: bool,
-    /// How much slower than usual it is; 1 is as usual.
+    /// How many times slower than normal it is; 1 is normal.
     pub slowness: f64,
-    /// Where the agent beside it answers; `None` without one.
+    /// Address of the target's agent; `None` if it has none.
     pub agent: Option<SocketAddr>,
-    /// Until when it rests from this daemon; `None` when it does not.
+    /// Until when this daemon must not send to it, as it asked with `Retry-After`;
+    /// `None` if it did not.
     pub rests_until: Option<Millis>,
-    /// The bound on it while it is cold; `None` where its service has none.
+    /// Rate bound while it is cold; `None` if its service has none.
     pub cold: Option<Arc<ColdTarget>>,
-    /// The limit that it named; `None` where it named none.
+    /// Rate limit that the target named; `None` if it named none.
     pub limit: Option<Arc<LimitedTarget>>,
-    /// Until when the grant holds on which the request is sent, or the part as
-    /// which it was counted; `None` without.
+    /// Until when a send on the obtained grant, or on the reserved quota, may start;
+    /// `None` if it was chosen without either.
     pub granted_until: Option<Millis>,
 }
 
-/// What a request asks of a target.
+/// What a request requires of a target.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Requirements<'a> {
-    /// When it is chosen.
+    /// Time of the choice.
     pub now: Millis,
-    /// Targets that it was sent to before.
+    /// Targets that the request was sent to before.
     pub tried: &'a [TargetId],
-    /// The least version of weights.
+    /// Minimum version of the weights.
     pub least: Option<u64>,
-    /// Tokens of its prompt.
+    /// Number of tokens in its prompt.
     pub prompt_tokens: u64,
-    /// Time that is left for a first event, in milliseconds; `None` when late
-    /// is better than never.
+    /// Time left until its first event is due, in milliseconds; `None` if an answer is
+    /// useful at any time.
     pub first_event_within_ms: Option<u64>,
-    /// Places that must stay free at the target for others.
+    /// Slots that must stay free at the target for other requests.
     pub spare: u32,
     /// Regions in which it may be served; `None` allows all.
     pub regions: Option<&'a AllowedRegions>,
--- a/crates/moleroad_dispatch/src/choice.rs
+++ b/crates/moleroad_dispatch/src/choice.rs
@@ -1,55 +1,57 @@
-//! Choosing among the targets of a service.
+//! Choice among the targets of a service.
 
 use crate::candidate::{Candidate, Distance, Requirements};
 use crate::cold::Admission;
-use crate::division::PART_LIFE_MS;
+use crate::division::QUOTA_SEND_TTL_MS;
 use crate::eligibility::barrier;
 use crate::targets::Targets;
 use moleroad_types::prelude::Millis;
 
-/// Which targets are looked at.
+/// Regions whose targets are considered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SearchScope {
-    /// Those of the own region; where it has none, some of other regions.
+    /// The entry's own region; if it has no target, a sample of the other regions.
     OwnRegion,
-    /// Those of other regions; some more where the own region has none.
+    /// The other regions; if the own region has no target, a further sample of them.
     OtherRegions,
 }
 
-/// What a choice came to.
+/// Result of a choice.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Choice {
-    /// Send it there.
+    /// Send the request to this target.
     Send(Candidate),
-    /// All targets are full; wait for a place.
+    /// All targets are full; wait for a free slot.
     Full,
-    /// No target can take it.
+    /// No target is eligible.
     Nobody,
 }
 
-/// Targets compared in the own region, and as many in others: entries that all
-/// took the best of the same reports would all send to one target.
-const COMPARED: usize = 2;
-/// Targets of the own region whose agents, or owners, are asked for one request: the
-/// best of a few that are drawn anew each time evens out load, and asking more costs
-/// calls for each request.
-const NEAR_ASKED: usize = 3;
-/// Targets of other regions whose agents are asked when the near ones are busy.
-const FAR_ASKED: usize = 2;
+/// Number of targets compared in the own region, and again in the other regions: if
+/// every entry took the best target according to the same reports, all would send to
+/// one target.
+const COMPARED_PER_SCOPE: usize = 2;
+/// Number of targets in the own region whose agents or grant owners are queried for a
+/// request. Choosing the best of a few random targets balances the load; each further
+/// query costs a call per request.
+const QUERIED_IN_REGION: usize = 3;
+/// Number of targets in other regions whose agents are queried when those of the own
+/// region are busy.
+const QUERIED_ELSEWHERE: usize = 2;
 
-/// Some of the free targets, drawn anew for each choice.
-fn sample<'a>(free: &[&'a Candidate], draw: u64) -> Vec<&'a Candidate> {
+/// Returns a random sample of the free targets.
+fn sample<'a>(free: &[&'a Candidate], random: u64) -> Vec<&'a Candidate> {
     let (far, near): (Vec<&Candidate>, Vec<&Candidate>) = free
         .iter()
         .copied()
         .partition(|candidate| candidate.distance == Distance::OtherRegion);
-    let mut drawn = draw_some(near, COMPARED, draw);
-    drawn.extend(draw_some(far, COMPARED, draw));
+    let mut drawn = pick_random(near, COMPARED_PER_SCOPE, random);
+    drawn.extend(pick_random(far, COMPARED_PER_SCOPE, random));
     drawn
 }
 
-fn draw_some(mut left: Vec<&Candidate>, count: usize, draw: u64) -> Vec<&Candidate> {
-    let mut state = draw;
+fn pick_random(mut left: Vec<&Candidate>, count: usize, random: u64) -> Vec<&Candidate> {
+    let mut state = random;
     let mut drawn = Vec::with_capacity(count);
     while drawn.len() < count && !left.is_empty() {
         // Constants of a linear congruential generator (Knuth, MMIX).
@@ -63,111 +65,114 @@
 }
 
 impl Targets {
-    /// Chooses a target that meets `needs`. `draw` breaks ties.
-    pub fn choose(&self, now: Millis, needs: Requirements<'_>, draw: u64) -> Choice {
+    /// Chooses a target that meets `needs`, without querying agents. `random` selects
+    /// the sample to compare.
+    pub fn choose(&self, now: Millis, needs: Requirements<'_>, random: u64) -> Choice {
         let pool = self.pool(now, needs);
         if pool.is_empty() {
             return Choice::Nobody;
         }
         let free = pool
             .iter()
-            .filter(|candidate| self.goes_unasked(now, candidate))
-            .filter(|candidate| self.has_place(now, candidate, needs.spare))
-            .filter(|candidate| self.is_in_time(now, candidate, needs));
+            .filter(|candidate| self.needs_no_grant(now, candidate))
+            .filter(|candidate| self.has_free_slot(now, candidate, needs.spare))
+            .filter(|candidate| self.meets_deadline(now, candidate, needs));
         let free: Vec<&Candidate> = free.copied().collect();
-        let sample = sample(&free, draw);
+        let sample = sample(&free, random);
         let best = sample
             .iter()
             .min_by(|left, right| self.cost_ms(now, left).total_cmp(&self.cost_ms(now, right)));
         match best {
-            Some(best) => Choice::Send(self.with_part_life(now, best)),
+            Some(best) => Choice::Send(self.with_quota_expiry(now, best)),
             None => Choice::Full,
         }
     }
 
-    /// Some of the targets that meet `needs`, have a place and may get the request on a
-    /// grant, drawn by chance.
-    pub fn on_grant(&self, now: Millis, needs: Requirements<'_>, draw: u64) -> Vec<Candidate> {
+    /// Returns a random sample of the targets that meet `needs`, have a free slot and
+    /// admit the request on a grant.
+    pub fn on_grant(&self, now: Millis, needs: Requirements<'_>, random: u64) -> Vec<Candidate> {
         let mut pool = self.pool(now, needs);
         pool.retain(|candidate| self.admission(now, candidate) == Admission::Grant);
-        pool.retain(|candidate| self.has_place(now, candidate, needs.spare));
-        let drawn = draw_some(pool, NEAR_ASKED, draw);
+        pool.retain(|candidate| self.has_free_slot(now, candidate, needs.spare));
+        let drawn = pick_random(pool, QUERIED_IN_REGION, random);
         drawn.into_iter().cloned().collect()
     }
 
-    /// The sound targets that meet `needs`; when none is sound, all of them.
-    /// One that is out of reach comes back when its agent may be asked again.
+    /// Returns the healthy targets that meet `needs`; if none is healthy, all that meet
+    /// them. A target presumed unreachable is included again once its agent may be
+    /// queried.
     fn pool(&self, now: Millis, needs: Requirements<'_>) -> Vec<&Candidate> {
-        let fits = |candidate: &&Candidate| barrier(candidate, needs).is_none();
-        let fitting: Vec<&Candidate> = self.candidates.iter().filter(fits).collect();
-        let sound = |candidate: &&&Candidate| {
+        let is_eligible = |candidate: &&Candidate| barrier(candidate, needs).is_none();
+        let eligible: Vec<&Candidate> = self.candidates.iter().filter(is_eligible).collect();
+        let healthy = |candidate: &&&Candidate| {
             let load = self.load(&candidate.id);
             let is_avoided = load.health.is_avoided(now);
-            let is_silent = load.is_out_of_reach(now) && load.agent_is_backed_off(now);
-            !candidate.switching && !is_silent && (self.ignores_failures || !is_avoided)
+            let is_unreachable = load.is_presumed_unreachable(now) && load.agent_is_backed_off(now);
+            !candidate.switching && !is_unreachable && (self.ignores_failures || !is_avoided)
         };
-        let pool: Vec<&Candidate> = fitting.iter().filter(sound).copied().collect();
+        let pool: Vec<&Candidate> = eligible.iter().filter(healthy).copied().collect();
         if pool.is_empty() {
-            // An avoided one is better than none.
-            return fitting;
+            // A target to be avoided is better than none.
+            return eligible;
         }
         pool
     }
 
-    /// Some targets to look at for a request, drawn by chance.
+    /// Returns a random sample of targets whose agents to query for a request.
     pub fn shortlist(
         &self,
         now: Millis,
         needs: Requirements<'_>,
-        reach: SearchScope,
-        draw: u64,
+        scope: SearchScope,
+        random: u64,
     ) -> Vec<Candidate> {
         let is_far = |candidate: &&Candidate| candidate.distance == Distance::OtherRegion;
         let (far, near): (Vec<_>, Vec<_>) = self.pool(now, needs).into_iter().partition(is_far);
-        // Where the own region has none, those of others are asked in its place:
-        // such a request gets the best of as many as any other.
-        let (pool, passed_over, count) = match (reach, near.is_empty()) {
-            (SearchScope::OwnRegion, false) => (near, 0, NEAR_ASKED),
-            (SearchScope::OtherRegions, false) => (far, 0, FAR_ASKED),
-            (SearchScope::OwnRegion, true) => (far, 0, NEAR_ASKED),
-            (SearchScope::OtherRegions, true) => (far, NEAR_ASKED, FAR_ASKED),
+        // If the own region has no target, targets of other regions take their place,
+        // so that such a request is also compared over as many targets as any other.
+        let (pool, skipped, count) = match (scope, near.is_empty()) {
+            (SearchScope::OwnRegion, false) => (near, 0, QUERIED_IN_REGION),
+            (SearchScope::OtherRegions, false) => (far, 0, QUERIED_ELSEWHERE),
+            (SearchScope::OwnRegion, true) => (far, 0, QUERIED_IN_REGION),
+            (SearchScope::OtherRegions, true) => (far, QUERIED_IN_REGION, QUERIED_ELSEWHERE),
         };
-        let drawn = draw_some(pool, passed_over + count, draw);
-        drawn.into_iter().skip(passed_over).cloned().collect()
+        let drawn = pick_random(pool, skipped + count, random);
+        drawn.into_iter().skip(skipped).cloned().collect()
     }
 
-    /// The cheapest of these targets that may still take the request, has a
-    /// place and can be in time. Those out of reach are passed over, also when
-    /// the others are full, unless all are.
+    /// Returns the cheapest of these targets that is still eligible, has a free slot
+    /// and can meet the deadline. Targets presumed unreachable are skipped, even if the
+    /// others are full, unless all of them are.
     pub fn best_of(
         &self,
         now: Millis,
         needs: Requirements<'_>,
-        looked_at: &[Candidate],
+        shortlisted: &[Candidate],
     ) -> Option<Candidate> {
-        // What was learned while agents were asked counts.
-        let known: Vec<&Candidate> = looked_at
+        // Uses the current state, which includes what the agents just reported.
+        let known: Vec<&Candidate> = shortlisted
             .iter()
-            .filter_map(|looked_at| self.candidate(&looked_at.id))
+            .filter_map(|shortlisted| self.candidate(&shortlisted.id))
             .filter(|candidate| barrier(candidate, needs).is_none())
             .collect();
-        let is_heard = |candidate: &&Candidate| !self.load(&candidate.id).is_out_of_reach(now);
-        let any_heard = known.iter().any(is_heard);
+        let is_responsive =
+            |candidate: &&Candidate| !self.load(&candidate.id).is_presumed_unreachable(now);
+        let any_responsive = known.iter().any(is_responsive);
         let free = known
             .into_iter()
-            .filter(|candidate| !any_heard || is_heard(candidate))
+            .filter(|candidate| !any_responsive || is_responsive(candidate))
             .filter(|candidate| self.admission(now, candidate) != Admission::Denied)
-            .filter(|candidate| self.has_place(now, candidate, needs.spare))
-            .filter(|candidate| self.is_in_time(now, candidate, needs));
+            .filter(|candidate| self.has_free_slot(now, candidate, needs.spare))
+            .filter(|candidate| self.meets_deadline(now, candidate, needs));
         let best = free.min_by(|a, b| self.cost_ms(now, a).total_cmp(&self.cost_ms(now, b)));
-        best.map(|best| self.with_part_life(now, best))
+        best.map(|best| self.with_quota_expiry(now, best))
     }
 
-    /// The target as it is chosen: a part of it must be used soon.
-    fn with_part_life(&self, now: Millis, chosen: &Candidate) -> Candidate {
-        let is_part = self.admission(now, chosen) == Admission::Quota;
+    /// Returns the chosen target, with an expiry if the send uses the entry's quota.
+    fn with_quota_expiry(&self, now: Millis, chosen: &Candidate) -> Candidate {
+        let uses_quota = self.admission(now, chosen) == Admission::Quota;
         Candidate {
-            granted_until: is_part.then(|| now + PART_LIFE_MS),
+            granted_until: uses_quota.then(|| now + QUOTA_SEND_TTL_MS),
             ..chosen.clone()
         }
     }
--- a/crates/moleroad_dispatch/src/cold.rs
+++ b/crates/moleroad_dispatch/src/cold.rs
@@ -1,29 +1,29 @@
-//! Whether a target is cold, as one entry believes.
+//! Cold targets, as seen by one entry.
 //!
-//! A target that is cold takes fewer requests a second than usual. What tells
-//! so comes late or not at all, so each source counts by itself: a target is
-//! cold as long as any of them says so.
+//! A cold target accepts fewer requests per second than usual. Evidence that it is cold
+//! arrives late or not at all, so each source counts independently: a target is cold as
+//! long as any source says so.
 
 use crate::division::Division;
 use crate::rate_bound::RateBound;
 use moleroad_types::prelude::Millis;
 
-/// What says that a target is cold, from assumed to told: of two that end at once
-/// the later one is named.
+/// Evidence that a target is cold, ordered from assumed to reported. If two sources
+/// expire at the same time, the later one is named.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ColdSource {
-    /// It was first heard of a moment ago.
+    /// It was discovered only recently.
     FirstHeard,
-    /// Its data hall was taken back after an evacuation.
+    /// Its data hall was returned to service after an evacuation.
     Restored,
-    /// The target itself.
+    /// The target's own heartbeat.
     Heartbeat,
-    /// The agent beside it.
+    /// The target's agent.
     Agent,
 }
 
 impl ColdSource {
-    /// Its name in the log.
+    /// Returns its name in log events.
     pub fn name(self) -> &'static str {
         match self {
             ColdSource::FirstHeard => "first_heard",
@@ -34,25 +34,25 @@
     }
 }
 
-/// What is known of a target when its state is worked out.
+/// The evidence from which a target's cold period is computed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ColdEvidence {
     /// How long a target is cold after its start, in milliseconds.
     pub lasts_ms: u64,
-    /// When it was first heard of.
+    /// When it was discovered.
     pub first_heard: Millis,
-    /// When it last spoke.
+    /// Time of its last heartbeat.
     pub heard: Millis,
-    /// How much longer it was cold then, in milliseconds.
+    /// Remaining cold time according to that heartbeat, in milliseconds.
     pub left_ms: u64,
-    /// When its data hall was taken back, if it was.
+    /// When its data hall was returned to service after an evacuation, if it was.
     pub restored: Option<Millis>,
 }
 
 impl ColdEvidence {
-    /// Until when the target counts as cold, and what says so.
+    /// Returns until when the target counts as cold, and by which source.
     pub fn until(self) -> (Millis, ColdSource) {
-        // Its own word that it is not cold ends what was only assumed before.
+        // A heartbeat that says the target is not cold overrides earlier assumptions.
         let spoke_since = |at: Millis| self.left_ms == 0 && self.heard > at;
         let assumed = |from: Millis| {
             let is_over = spoke_since(from);
@@ -73,7 +73,7 @@
         .unwrap_or((Millis(0), ColdSource::FirstHeard))
     }
 
-    /// Until when the target is cold by its own word.
+    /// Returns until when the target is cold according to its own heartbeat.
     pub fn said_until(self) -> Millis {
         if self.left_ms > 0 {
             self.heard + self.left_ms
@@ -83,55 +83,57 @@
     }
 }
 
-/// A bound on a target while it is cold, and until when that is.
+/// Rate bound of a cold target, and its period of validity.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdTarget {
     /// The bound.
     pub bound: RateBound,
-    /// Until when it holds, by what this entry heard.
+    /// Until when it applies, according to the evidence known to this entry.
     pub until: Millis,
-    /// What says so.
+    /// Source of that evidence.
     pub source: ColdSource,
-    /// Until when it is cold by its own word.
+    /// Until when it is cold according to its own heartbeat.
     pub said_until: Millis,
     /// How long a target is cold after its start, in milliseconds.
     pub lasts_ms: u64,
-    /// Whether requests go there on grants of the agent beside it only.
+    /// Whether each send needs a grant from the target's agent.
     pub requires_grant: bool,
-    /// Requests in a second that this entry may send without a grant.
+    /// Requests that this entry may send without a grant in one quota window.
     pub part: u32,
-    /// From when on it may.
+    /// From when on it may use that quota.
     pub quota_from: Millis,
 }
 
 impl ColdTarget {
-    /// How much longer it is cold by what it said itself, in milliseconds: what
-    /// others may rely on. What was only assumed of it, as after its data hall
-    /// was taken back, ends here with its own word, and elsewhere would not.
+    /// Returns the remaining cold time that the target itself reported, in
+    /// milliseconds. Only this value is passed on to others: an assumption, such as
+    /// after the end of an evacuation, is withdrawn here by the target's next
+    /// heartbeat but would not be withdrawn elsewhere.
     pub fn reported_left_ms(&self, now: Millis) -> u64 {
         self.said_until.since(now)
     }
 
-    /// The part of `own` among `entries` that are ready; none where grants are
-    /// given.
+    /// Sets the quota of the entry `own` among the ready `entries`; it stays 0 if sends
+    /// need grants.
     pub fn with_quota(mut self, own: &str, entries: &[&str], target: &str) -> Self {
         if self.requires_grant {
             return self;
         }
-        self.part = Division::of(self.bound).part_of(own, entries, target);
+        self.part = Division::of(self.bound).quota_of(own, entries, target);
         self
     }
 }
 
-/// How a request may go to a target now, from the freest way on.
+/// Condition on which a request may be sent to a target now, from the least to the most
+/// restrictive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Admission {
-    /// Without asking.
+    /// Without a grant or quota.
     Unrestricted,
-    /// Without asking, as a send that counts toward this entry's part.
+    /// Without a grant, counted against this entry's quota.
     Quota,
-    /// On a grant.
+    /// Only with a grant.
     Grant,
-    /// Not now.
+    /// Not at present.
     Denied,
 }
--- a/crates/moleroad_dispatch/src/cost.rs
+++ b/crates/moleroad_dispatch/src/cost.rs
@@ -1,45 +1,47 @@
-//! Whether a target has a place for a request, and what sending it there costs.
+//! Free slots, deadlines and the cost of sending a request to a target.
 
 use crate::candidate::{Candidate, Requirements};
 use crate::targets::Targets;
 use moleroad_types::prelude::Millis;
 
-/// Time that a full target takes to run one request, shared by its slots, as
-/// the cost of each request beyond the slots, in milliseconds.
-const FULL_COST_MS: f64 = 1_000.0;
-/// What a full set of slots adds to a first event, in milliseconds, where no
-/// model of the target's speed is known.
+/// Cost of each request beyond the slots of a full target, in milliseconds: the time to
+/// run one request, divided by the slots.
+const OVERLOAD_COST_MS: f64 = 1_000.0;
+/// Added latency of a first event if all slots are in use, in milliseconds, for targets
+/// without a prefill model.
 const BUSY_COST_MS: f64 = 100.0;
-/// What a full set of slots adds beside the prompts that wait, in milliseconds:
-/// each step takes a little longer, and a place may be missing soon.
+/// Added cost if all slots are in use, on top of the prompts that are still to be
+/// prefilled, in milliseconds: each step takes a little longer, and the target may soon
+/// be full.
 const BUSY_ENGINE_COST_MS: f64 = 30.0;
-/// What a failed send costs, in milliseconds: the time until it is noticed.
+/// Cost of a failed send, in milliseconds: the time until the failure is detected.
 const FAILURE_COST_MS: f64 = 500.0;
-/// What a slow target adds for each time that it is slower than usual, in
-/// milliseconds: later events are slow too, not only the first.
+/// Cost of a slow target for each multiple of the normal duration, in milliseconds:
+/// later events are slow too, not only the first.
 const SLOW_COST_MS: f64 = 150.0;
 
-/// Share of its slots up to which any entry sends to a target: beyond it, entries
-/// that decide at once would overfill it, and each keeps to its own places.
-const LIGHT_SHARE: f64 = 0.7;
+/// Load, as a fraction of the slots, up to which any entry may send to a target. Beyond
+/// it, entries that decide at the same time would overfill the target, so each uses
+/// only its own slots.
+const SHARED_LOAD_LIMIT: f64 = 0.7;
 
 impl Targets {
-    pub(crate) fn has_place(&self, now: Millis, candidate: &Candidate, spare: u32) -> bool {
+    pub(crate) fn has_free_slot(&self, now: Millis, candidate: &Candidate, spare: u32) -> bool {
         let load = self.load(&candidate.id);
         let requests = load.requests(now);
         let slots = f64::from(candidate.slots.saturating_sub(spare));
         if self.reading.is_some() && load.is_current(now) {
             return load.own() < candidate.max_own && requests + 1.0 <= slots;
         }
-        // All entries see a target that has just become free: each sends only
-        // its part until a report tells what the others sent.
+        // All entries see at the same time that a target has become free: until a
+        // report shows what the others sent, each sends no more than its own share.
         let is_crowd = self.reading.is_some() && load.unreported(now) >= candidate.share.max(1);
-        let is_light = requests + 1.0 <= slots * LIGHT_SHARE && !is_crowd;
+        let is_light = requests + 1.0 <= slots * SHARED_LOAD_LIMIT && !is_crowd;
         let has_own = load.own() < candidate.share && requests < slots;
         load.own() < candidate.max_own && (is_light || has_own)
     }
 
-    pub(crate) fn is_in_time(
+    pub(crate) fn meets_deadline(
         &self,
         now: Millis,
         candidate: &Candidate,
@@ -57,7 +59,7 @@
         first_event_ms * self.slowness(now, candidate) <= first_event_within_ms as f64
     }
 
-    /// What sending to the candidate costs, as a time in milliseconds.
+    /// Returns the cost of sending to the candidate, as a time in milliseconds.
     pub fn cost_ms(&self, now: Millis, candidate: &Candidate) -> f64 {
         let load = self.load(&candidate.id);
         let slots = f64::from(candidate.slots.max(1));
@@ -70,15 +72,15 @@
                 first_ms * self.slowness(now, candidate) + BUSY_ENGINE_COST_MS * requests / slots
             }
         };
-        let beyond = (requests + 1.0 - slots).max(0.0) * FULL_COST_MS / slots;
+        let beyond = (requests + 1.0 - slots).max(0.0) * OVERLOAD_COST_MS / slots;
         let failing = load.health.failure_rate(now) * FAILURE_COST_MS;
         let slow = (self.slowness(now, candidate) - 1.0).max(0.0) * SLOW_COST_MS;
-        let silent = load.silence_cost_ms(now);
+        let silent = load.timeout_cost_ms(now);
         candidate.distance.cost_ms() + busy + beyond + failing + slow + silent
     }
 
-    /// Whether looking at other regions is not worth its time: at most one
-    /// usual prompt waits at the target.
+    /// Returns whether the candidate is cheap enough to skip the search in other
+    /// regions: at most one prompt of typical length is waiting there.
     pub fn is_good_enough(&self, now: Millis, candidate: &Candidate) -> bool {
         let Some(reading) = self.reading else {
             return true;
--- a/crates/moleroad_dispatch/src/eligibility.rs
+++ b/crates/moleroad_dispatch/src/eligibility.rs
@@ -1,29 +1,29 @@
-//! Which targets a request may go to at all.
+//! Eligibility of targets for a request.
 //!
-//! Every way that leads a request to a target passes [`barrier`]: the first
-//! send, a repeat, a stream that is resumed, a request that waited for a place
-//! and a target whose agent was asked.
+//! Every path that sends a request to a target checks [`exclusion`]: first sends,
+//! retries, resumed streams, requests that waited for a slot, and targets whose agents
+//! were queried.
 
 use crate::candidate::{Candidate, Requirements};
 use moleroad_types::prelude::AllowedRegions;
 
-/// Why a target may not get a request.
+/// Why a target is not eligible for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Exclusion {
-    /// It stands in a region where the request may not be served.
+    /// It is in a region where the request may not be served.
     Region,
     /// Its data hall is evacuated.
     Evacuated,
     /// Its weights are too old.
     OldWeights,
-    /// It asked this daemon for rest.
-    Rests,
+    /// It asked this daemon to back off.
+    BackingOff,
     /// The request was sent to it before.
     Tried,
 }
 
-/// What keeps `candidate` from getting a request with these needs; `None` when
-/// it may be sent there.
+/// Returns why `candidate` is not eligible for a request with these requirements;
+/// `None` if it is.
 pub fn barrier(candidate: &Candidate, needs: Requirements<'_>) -> Option<Exclusion> {
     let is_allowed = |regions: &AllowedRegions| regions.contains(&candidate.region);
     if !needs.regions.is_none_or(is_allowed) {
@@ -36,10 +36,11 @@
     if needs.least.is_some_and(is_older) {
         return Some(Exclusion::OldWeights);
     }
-    // A bar and not a cost: where all others are full or fail, a cost would send to
-    // a resting target all the same (69 requests of 144 that pressed, where one may).
+    // A target that asked for a backoff is excluded rather than made expensive: with a
+    // cost, it still got requests whenever all others were full or failing (69 of 144
+    // requests under pressure, where one is permitted).
     if candidate.rests_until.is_some_and(|until| needs.now < until) {
-        return Some(Exclusion::Rests);
+        return Some(Exclusion::BackingOff);
     }
     needs
         .tried
@@ -47,24 +48,25 @@
         .then_some(Exclusion::Tried)
 }
 
-/// How many targets each barrier keeps from getting a request.
+/// Number of targets by the reason for their exclusion.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ExclusionCounts {
-    /// Stand in a region where it may not be served.
+    /// In a region where the request may not be served.
     pub region: usize,
-    /// Stand in an evacuated data hall.
+    /// In an evacuated data hall.
     pub evacuated: usize,
-    /// Have weights that are too old.
+    /// With weights that are too old.
     pub old_weights: usize,
-    /// Asked this daemon for rest.
+    /// Asked this daemon to back off.
     pub rests: usize,
-    /// Had it before.
+    /// Got the request before.
     pub tried: usize,
-    /// May get it.
+    /// Eligible.
     pub open: usize,
 }
 
-/// Counts what keeps `candidates` from getting a request with these needs.
+/// Counts `candidates` by the reason why they are excluded from a request with these
+/// requirements.
 pub fn tally(candidates: &[Candidate], needs: Requirements<'_>) -> ExclusionCounts {
     let mut tally = ExclusionCounts::default();
     for candidate in candidates {
@@ -72,7 +74,7 @@
             Some(Exclusion::Region) => tally.region += 1,
             Some(Exclusion::Evacuated) => tally.evacuated += 1,
             Some(Exclusion::OldWeights) => tally.old_weights += 1,
-            Some(Exclusion::Rests) => tally.rests += 1,
+            Some(Exclusion::BackingOff) => tally.rests += 1,
             Some(Exclusion::Tried) => tally.tried += 1,
             None => tally.open += 1,
         }
--- a/crates/moleroad_dispatch/src/health.rs
+++ b/crates/moleroad_dispatch/src/health.rs
@@ -1,96 +1,97 @@
-//! What a target's answers say about it.
+//! Health of a target, derived from the outcomes of sends to it.
 
 use moleroad_types::prelude::Millis;
 
-/// How a send ended, as far as it tells about the target.
+/// Outcome of a send, as far as it says something about the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Answered.
+    /// The target answered.
     Answered,
-    /// The caller left, or another reason that is not the target's.
+    /// The caller disconnected, or the send ended for another reason unrelated to the
+    /// target.
     Abandoned,
-    /// Turned away without running.
+    /// The target rejected the request without running it.
     TurnedAway,
-    /// Answered that it failed.
+    /// The target answered with a failure.
     Failed,
-    /// The connection did not come up.
+    /// No connection was established.
     Unreachable,
-    /// The answer broke off, was spoilt or did not come in time.
+    /// The answer was cut off, corrupt or too late.
     Broken,
 }
 
-/// Weight of the newest outcome in the rate of failures.
+/// Weight of the newest outcome in the moving average of failures.
 const NEWEST_WEIGHT: f64 = 0.25;
-/// Time in which the rate of failures halves without news, in milliseconds.
+/// Half-life of the failure rate in the absence of new outcomes, in milliseconds.
 const HALF_LIFE_MS: f64 = 3_000.0;
-/// Shortest time for which a target is avoided, in milliseconds.
-const AVOID_FIRST_MS: u64 = 400;
-/// Longest time for which a target is avoided, in milliseconds.
-const AVOID_LONGEST_MS: u64 = 3_200;
-/// Broken answers in a row after which a target is avoided.
-const BROKEN_IN_A_ROW: u32 = 2;
+/// Minimum duration of avoiding a target, in milliseconds.
+const MIN_AVOIDANCE_MS: u64 = 400;
+/// Maximum duration of avoiding a target, in milliseconds.
+const MAX_AVOIDANCE_MS: u64 = 3_200;
+/// Number of consecutive failed answers after which a target is avoided.
+const FAILURES_TO_AVOID: u32 = 2;
 
-/// A target counts as unreachable once connections to it failed over this time,
-/// in milliseconds: one that was lost on the way says nothing yet.
+/// Time over which connections to a target must have failed before it counts as
+/// unreachable, in milliseconds: a single lost connection proves nothing.
 const UNREACHABLE_AFTER_MS: u64 = 400;
-/// Time after the last failed connection for which a target counts as unreachable,
-/// in milliseconds: then requests try again, so that callers are not refused for
-/// longer once it is back.
+/// How long a target counts as unreachable after the last failed connection, in
+/// milliseconds. After that requests try it again, so that callers are not refused for
+/// much longer than it is down.
 const UNREACHABLE_MS: u64 = 800;
 
-/// The recent past of one target.
+/// Recent outcomes of sends to one target.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Health {
     failure_rate: f64,
-    rated_at: Millis,
-    in_a_row: u32,
-    avoid_until: Millis,
-    avoided_ms: u64,
-    /// The first and the last connection that failed since one came up.
+    updated_at: Millis,
+    consecutive_failures: u32,
+    avoided_until: Millis,
+    avoidance_ms: u64,
+    /// Times of the first and last failed connection since one was established.
     unreachable: Option<(Millis, Millis)>,
 }
 
 impl Health {
-    /// Takes the end of a send.
-    pub fn note(&mut self, now: Millis, outcome: Outcome) {
-        self.note_reach(now, outcome);
+    /// Records the outcome of a send.
+    pub fn record(&mut self, now: Millis, outcome: Outcome) {
+        self.update_reachability(now, outcome);
         match outcome {
             Outcome::Abandoned => {}
             Outcome::Answered => {
-                self.rate(now, 0.0);
-                self.in_a_row = 0;
-                self.avoided_ms = 0;
-                self.avoid_until = Millis(0);
+                self.update_failure_rate(now, 0.0);
+                self.consecutive_failures = 0;
+                self.avoidance_ms = 0;
+                self.avoided_until = Millis(0);
             }
-            Outcome::TurnedAway | Outcome::Failed => self.rate(now, 1.0),
+            Outcome::TurnedAway | Outcome::Failed => self.update_failure_rate(now, 1.0),
             Outcome::Broken => {
-                self.rate(now, 1.0);
-                self.in_a_row += 1;
-                if self.in_a_row >= BROKEN_IN_A_ROW {
-                    self.avoid(now);
+                self.update_failure_rate(now, 1.0);
+                self.consecutive_failures += 1;
+                if self.consecutive_failures >= FAILURES_TO_AVOID {
+                    self.start_avoidance(now);
                 }
             }
             Outcome::Unreachable => {
-                self.rate(now, 1.0);
-                self.in_a_row += 1;
-                self.avoid(now);
+                self.update_failure_rate(now, 1.0);
+                self.consecutive_failures += 1;
+                self.start_avoidance(now);
             }
         }
     }
 
-    /// Whether the target gets requests only when no other can take them.
+    /// Returns whether the target gets requests only if no other can take them.
     pub fn is_avoided(&self, now: Millis) -> bool {
-        now < self.avoid_until
+        now < self.avoided_until
     }
 
-    /// Whether no connection to the target comes up.
+    /// Returns whether connections to the target keep failing.
     pub fn is_unreachable(&self, now: Millis) -> bool {
         self.unreachable.is_some_and(|(first, last)| {
             last.since(first) >= UNREACHABLE_AFTER_MS && now.since(last) < UNREACHABLE_MS
         })
     }
 
-    fn note_reach(&mut self, now: Millis, outcome: Outcome) {
+    fn update_reachability(&mut self, now: Millis, outcome: Outcome) {
         match outcome {
             Outcome::Abandoned => {}
             Outcome::Unreachable => {
@@ -101,25 +102,25 @@
         }
     }
 
-    /// Share of recent sends that failed, 0 to 1.
+    /// Returns the decayed share of recent sends that failed, 0 to 1.
     pub fn failure_rate(&self, now: Millis) -> f64 {
-        let halvings = now.since(self.rated_at) as f64 / HALF_LIFE_MS;
+        let halvings = now.since(self.updated_at) as f64 / HALF_LIFE_MS;
         self.failure_rate * 0.5_f64.powf(halvings)
     }
 
-    fn rate(&mut self, now: Millis, failed: f64) {
-        let faded = self.failure_rate(now);
-        self.failure_rate = faded + NEWEST_WEIGHT * (failed - faded);
-        self.rated_at = now;
+    fn update_failure_rate(&mut self, now: Millis, failed: f64) {
+        let decayed = self.failure_rate(now);
+        self.failure_rate = decayed + NEWEST_WEIGHT * (failed - decayed);
+        self.updated_at = now;
     }
 
-    fn avoid(&mut self, now: Millis) {
-        // Sends that were under way together count as one sign.
+    fn start_avoidance(&mut self, now: Millis) {
+        // Sends that failed concurrently count as one failure.
         if self.is_avoided(now) {
             return;
         }
-        let doubled = self.avoided_ms * 2;
-        self.avoided_ms = doubled.clamp(AVOID_FIRST_MS, AVOID_LONGEST_MS);
-        self.avoid_until = now + self.avoided_ms;
+        let doubled = self.avoidance_ms * 2;
+        self.avoidance_ms = doubled.clamp(MIN_AVOIDANCE_MS, MAX_AVOIDANCE_MS);
+        self.avoided_until = now + self.avoidance_ms;
     }
 }
--- a/crates/moleroad_dispatch/src/lib.rs
+++ b/crates/moleroad_dispatch/src/lib.rs
@@ -1,22 +1,23 @@
-//! Which target a request goes to, when it goes, and how often it may be
-//! repeated.
+//! Choice of the target for a request, the time of sending, and the number of
+//! retries.
 //!
-//! Pure decisions of one entry; the shell reports what was sent and how it
-//! ended. Each entry shares the targets with others that it does not ask:
-//! [`load`] estimates what they have in flight from what agents report,
-//! [`reading`] predicts its first event, [`targets`] keeps both for each
-//! [`candidate`], [`eligibility`] says which a request may go to, [`cost`] what
-//! that costs, [`choice`] picks the cheapest of them, [`queue`] orders
-//! those that wait for a place, [`pace`] tells how soon late ones get one and
-//! [`overdue_share`] how many they may take, [`share`] says whose the last
-//! places are, [`health`] remembers what failed, [`rest`] who asked for rest,
-//! and [`budget`] holds the
-//! entry's share of the repeats that all entries may send.
+//! The decisions of one entry, without I/O; the caller reports what was sent and
+//! how it ended. Each entry shares the targets with others that it does not
+//! coordinate with: [`load`] estimates what they have in flight from the agents'
+//! reports, [`prefill`] predicts the first event, [`targets`] keeps both for each
+//! [`candidate`], [`eligibility`] decides which targets a request may go to, [`cost`]
+//! estimates the cost of a send, [`choice`] picks the cheapest target, [`queue`]
+//! orders the requests that wait for a slot, [`wait_estimate`] predicts how soon
+//! overdue ones get one and [`overdue_share`] limits how many they may use, [`share`]
+//! divides the last slots of a target among the entries, [`health`] tracks failures,
+//! [`backoff`] tracks targets that asked for a pause, and [`budget`] holds the entry's
+//! share of the retries that all entries may send.
 //!
-//! A target that is cold takes few requests a second: [`cold`] says whether it
-//! is, [`admission`] how a request may go there, [`rate_bound`] gives the grants
-//! by which all entries keep the bound, and [`division`] stands in where nobody
-//! gives any.
+//! A cold target accepts only few requests per second: [`cold`] decides whether a
+//! target is cold, [`admission`] on what condition a request may be sent there,
+//! [`rate_bound`] provides the grants by which all entries keep the bound,
+//! [`division`] divides the bound where no agent gives grants, and [`limit`] enforces
+//! the limits that targets name.
 //!
 //! ```
 //! use moleroad_dispatch::prelude::*;
@@ -29,6 +30,7 @@
 #![warn(missing_docs)]
 
 pub mod admission;
+pub mod backoff;
 pub mod budget;
 pub mod candidate;
 pub mod choice;
@@ -40,17 +42,17 @@
 pub mod limit;
 pub mod load;
 pub mod overdue_share;
-pub mod pace;
+pub mod prefill;
 pub mod queue;
 pub mod rate_bound;
-pub mod reading;
-pub mod rest;
 pub mod share;
 pub mod targets;
+pub mod wait_estimate;
 
-/// The types most users of the crate need.
+/// The types that most users of the crate need.
 pub mod prelude {
     pub use crate::admission::COLD_SLOWNESS;
+    pub use crate::backoff::{MAX_BACKOFF_MS, Responder, Rests, parse_retry_after_ms};
     pub use crate::budget::{RetryBudgetParams, SharedRetryBudget};
     pub use crate::candidate::{Candidate, Distance, Requirements};
     pub use crate::choice::{Choice, SearchScope};
@@ -58,14 +60,13 @@
     pub use crate::division::{Division, SendTimes, quota_usable_from};
     pub use crate::eligibility::{Exclusion, ExclusionCounts, barrier, tally};
     pub use crate::health::{Health, Outcome};
-    pub use crate::limit::{LEAST_PER_S, LimitedTarget, limit_bucket_params, owner};
+    pub use crate::limit::{LimitedTarget, MIN_PER_S, limit_bucket_params, owner};
     pub use crate::load::TargetLoad;
     pub use crate::overdue_share::OverdueShare;
-    pub use crate::pace::WaitEstimator;
+    pub use crate::prefill::PrefillSpeed;
     pub use crate::queue::{WaitClass, WaitQueue, Waiter, WaiterId};
-    pub use crate::rate_bound::{GRANT_TTL_MS, GrantTerms, RateBound, TokenBucket};
-    pub use crate::reading::PrefillSpeed;
-    pub use crate::rest::{LONGEST_REST_MS, Responder, Rests, parse_retry_after_ms};
+    pub use crate::rate_bound::{BucketParams, GRANT_TTL_MS, RateBound, TokenBucket};
     pub use crate::share::{EntryDemand, SlotShares};
     pub use crate::targets::{BackoffEnds, Targets};
+    pub use crate::wait_estimate::WaitEstimator;
 }
--- a/crates/moleroad_dispatch/src/load.rs
+++ b/crates/moleroad_dispatch/src/load.rs
@@ -1,33 +1,34 @@
-//! How much one target has in hand.
+//! Load of one target.
 
 use crate::health::Health;
 use moleroad_types::prelude::Millis;
 
-/// Time after which a send counts as seen by others though no report came, in
-/// milliseconds.
+/// Time after which a send is assumed to be visible to other entries even if no report
+/// came, in milliseconds.
 const UNREPORTED_MS: u64 = 250;
-/// Age up to which a report counts whole, in milliseconds.
-const REPORT_FRESH_MS: u64 = 1_000;
+/// Age up to which a report has full weight, in milliseconds.
+const REPORT_FULL_WEIGHT_MS: u64 = 1_000;
 /// Age at which a report no longer counts, in milliseconds.
-const REPORT_OVER_MS: u64 = 4_000;
-/// Age up to which a report tells what the target has in hand now, in
-/// milliseconds: the shortest pass of an engine takes longer.
-const REPORT_NEW_MS: u64 = 40;
-/// How long an agent that did not answer is not asked again, in milliseconds.
-const AGENT_RESTS_MS: u64 = 300;
-/// What each silence of an agent in a row costs its target, in milliseconds: an
-/// answer lost on its way makes another target of equal load the better one.
-const SILENCE_COST_MS: f64 = 60.0;
-/// Silences that count; so many cost as much as a send that fails.
-const MOST_SILENCES: u32 = 8;
-/// Silences in a row after which a target counts as out of reach: one answer
-/// may be lost on its way, and one that is late is still counted.
-const OUT_OF_REACH_SILENCES: u32 = 2;
-
-/// Time after which a silence no longer counts, in milliseconds: an agent that is
-/// there is asked many times in it, and of one that nobody asks any more, since
-/// it is no longer known, nothing is learned.
-const SILENCE_OVER_MS: u64 = 3_000;
+const REPORT_EXPIRY_MS: u64 = 4_000;
+/// Age up to which a report is taken as the current load, in milliseconds: shorter than
+/// the shortest pass of an engine.
+const REPORT_CURRENT_MS: u64 = 40;
+/// How long an agent that did not answer is not queried again, in milliseconds.
+const AGENT_BACKOFF_MS: u64 = 300;
+/// Cost of a target for each consecutive timeout of its agent, in milliseconds: after a
+/// single lost answer, another target with the same load is preferred.
+const TIMEOUT_COST_MS: f64 = 60.0;
+/// Maximum number of timeouts that are counted; that many cost about as much as a
+/// failed send.
+const MAX_COUNTED_TIMEOUTS: u32 = 8;
+/// Number of consecutive timeouts after which a target is presumed unreachable: a
+/// single answer may be lost, and a late one still counts.
+const TIMEOUTS_TO_UNREACHABLE: u32 = 2;
+
+/// Time after which timeouts no longer count, in milliseconds. An agent in use is
+/// queried many times within it; one that is no longer known is not queried, so its
+/// last timeouts say nothing about it.
+const TIMEOUT_EXPIRY_MS: u64 = 3_000;
 
 #[derive(Clone, Copy, Debug)]
 struct Report {
@@ -36,7 +37,8 @@
     at: Millis,
 }
 
-/// What this entry has in flight at a target, and what it believes others have.
+/// Requests that this entry has in flight at a target, and its estimate for the other
+/// entries.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TargetLoad {
     own: u32,
@@ -46,19 +48,19 @@
     sent: u32,
     sent_since: Millis,
     report: Option<Report>,
-    agent_rests_until: Millis,
-    /// Until when the agent counts the target as cold.
+    agent_backoff_until: Millis,
+    /// Until when the agent considers the target cold.
     cold_until: Millis,
-    /// How often in a row the agent did not answer.
-    silences: u32,
-    /// When it last did not answer.
-    silent_at: Millis,
-    /// The recent past.
+    /// Number of times in a row that the agent did not answer.
+    consecutive_timeouts: u32,
+    /// Time of the last of them.
+    last_timeout: Millis,
+    /// Recent outcomes of sends.
     pub health: Health,
 }
 
 impl TargetLoad {
-    /// Counts a send whose prompt has `tokens`.
+    /// Counts a send whose prompt has `tokens` tokens.
     pub fn started(&mut self, now: Millis, tokens: u64) {
         if now.since(self.sent_since) >= UNREPORTED_MS {
             self.sent_since = now;
@@ -70,7 +72,7 @@
         self.own_unread_tokens += tokens;
     }
 
-    /// Counts a prompt as read: the answer to it began, or never will.
+    /// Counts a prompt as prefilled: its answer has begun, or never will.
     pub fn was_read(&mut self, tokens: u64) {
         self.own_unread = self.own_unread.saturating_sub(1);
         self.own_unread_tokens = self.own_unread_tokens.saturating_sub(tokens);
@@ -81,11 +83,11 @@
         self.own = self.own.saturating_sub(1);
     }
 
-    /// Takes the number of requests that the target has from all entries:
-    /// those that run, and those whose prompt is not read yet.
+    /// Records a report of the requests that the target has from all entries: those
+    /// that are running, and those whose prompt is not prefilled yet.
     pub fn reported(&mut self, now: Millis, running: u32, unread: u32) {
-        self.agent_rests_until = Millis(0);
-        self.silences = 0;
+        self.agent_backoff_until = Millis(0);
+        self.consecutive_timeouts = 0;
         self.sent = 0;
         self.sent_since = now;
         self.report = Some(Report {
@@ -95,85 +97,88 @@
         });
     }
 
-    /// Takes that no agent listens beside the target: its machine is reached,
-    /// and the agent is being started.
+    /// Records that the agent refused the connection: its instance is reachable, and
+    /// the agent is being started.
     pub fn agent_refused(&mut self, now: Millis) {
-        self.agent_rests_until = now + AGENT_RESTS_MS;
-        self.silences = 0;
+        self.agent_backoff_until = now + AGENT_BACKOFF_MS;
+        self.consecutive_timeouts = 0;
     }
 
-    /// Takes that the agent beside the target did not answer; requests that
-    /// asked it side by side count as one sign.
+    /// Records that the agent did not answer. Timeouts of concurrent queries count as
+    /// one.
     pub fn agent_timed_out(&mut self, now: Millis) {
         if self.agent_is_backed_off(now) {
             return;
         }
-        self.agent_rests_until = now + AGENT_RESTS_MS;
-        self.silences = (self.silences(now) + 1).min(MOST_SILENCES);
-        self.silent_at = now;
+        self.agent_backoff_until = now + AGENT_BACKOFF_MS;
+        self.consecutive_timeouts = (self.consecutive_timeouts(now) + 1).min(MAX_COUNTED_TIMEOUTS);
+        self.last_timeout = now;
     }
 
-    /// Whether the way to the target seems to be cut or held up: a send would
-    /// find that out only when its connection does not come up.
-    pub fn is_out_of_reach(&self, now: Millis) -> bool {
-        self.silences(now) >= OUT_OF_REACH_SILENCES
+    /// Returns whether the path to the target is presumed broken or congested; a send
+    /// would only notice when its connection fails.
+    pub fn is_presumed_unreachable(&self, now: Millis) -> bool {
+        self.consecutive_timeouts(now) >= TIMEOUTS_TO_UNREACHABLE
     }
 
-    /// Whether the agent did not answer when it was last asked, so that the way there
-    /// may be held up.
+    /// Returns whether the agent did not answer the last query, so that the path to the
+    /// target may be congested.
     pub fn is_silent(&self, now: Millis) -> bool {
-        self.silences(now) > 0
+        self.consecutive_timeouts(now) > 0
     }
 
-    /// Silences in a row that still count.
-    fn silences(&self, now: Millis) -> u32 {
-        if now.since(self.silent_at) < SILENCE_OVER_MS {
-            self.silences
+    /// Number of consecutive timeouts that still count.
+    fn consecutive_timeouts(&self, now: Millis) -> u32 {
+        if now.since(self.last_timeout) < TIMEOUT_EXPIRY_MS {
+            self.consecutive_timeouts
         } else {
             0
         }
     }
 
-    /// What the silence of its agent costs the target, in milliseconds. A link
-    /// that holds up the agent's answers holds up the target's as well, and the
-    /// last report, as it fades, would make the target look idle.
-    pub fn silence_cost_ms(&self, now: Millis) -> f64 {
-        f64::from(self.silences(now)) * SILENCE_COST_MS
+    /// Returns the cost of the agent's timeouts, in milliseconds. A link that delays
+    /// the agent's answers also delays the target's, and as the last report loses
+    /// weight the target would look idle.
+    pub fn timeout_cost_ms(&self, now: Millis) -> f64 {
+        f64::from(self.consecutive_timeouts(now)) * TIMEOUT_COST_MS
     }
 
-    /// Takes that the agent counts the target as cold until then.
+    /// Records until when the agent considers the target cold.
     pub fn agent_reported_cold(&mut self, until: Millis) {
         self.cold_until = self.cold_until.max(until);
     }
 
-    /// Until when the agent counts the target as cold.
+    /// Returns until when the agent considers the target cold.
     pub fn cold_until(&self) -> Millis {
         self.cold_until
     }
 
-    /// Whether the agent beside the target did not answer lately.
+    /// Returns whether the agent is not to be queried, because it recently failed to
+    /// answer.
     pub fn agent_is_backed_off(&self, now: Millis) -> bool {
-        now < self.agent_rests_until
+        now < self.agent_backoff_until
     }
 
-    /// Whether the last report is as good as a look at the target.
+    /// Returns whether the last report is recent enough to be taken as the current
+    /// load.
     pub fn is_current(&self, now: Millis) -> bool {
         let age_ms = self.report_age(now);
-        age_ms.is_some_and(|age_ms| age_ms <= REPORT_NEW_MS)
+        age_ms.is_some_and(|age_ms| age_ms <= REPORT_CURRENT_MS)
     }
 
-    /// Prompt tokens that the target has not read yet, from all entries, when
-    /// a prompt of others has `usual_prompt` tokens.
-    pub fn unread_tokens(&self, now: Millis, usual_prompt: f64) -> f64 {
+    /// Returns the number of prompt tokens from all entries that the target has not
+    /// prefilled yet; `typical_prompt_tokens` is the assumed length of other entries'
+    /// prompts.
+    pub fn unread_tokens(&self, now: Millis, typical_prompt_tokens: f64) -> f64 {
         let own = self.own_unread_tokens as f64;
         let Some(report) = self.report else {
             return own;
         };
-        let others = f64::from(report.others_unread) * usual_prompt;
-        own + others * weight_of(now.since(report.at))
+        let others = f64::from(report.others_unread) * typical_prompt_tokens;
+        own + others * report_weight(now.since(report.at))
     }
 
-    /// Sends that no report can have seen yet.
+    /// Returns the number of sends that no report can include yet.
     pub fn unreported(&self, now: Millis) -> u32 {
         if now.since(self.sent_since) < UNREPORTED_MS {
             self.sent
@@ -182,28 +187,28 @@
         }
     }
 
-    /// Requests in flight from this entry.
+    /// Returns the number of requests in flight from this entry.
     pub fn own(&self) -> u32 {
         self.own
     }
 
-    /// Age of the last report, in milliseconds.
+    /// Returns the age of the last report, in milliseconds.
     pub fn report_age(&self, now: Millis) -> Option<u64> {
         self.report.map(|report| now.since(report.at))
     }
 
-    /// Requests in flight from all entries, as far as known.
+    /// Returns the estimated number of requests in flight from all entries.
     pub fn requests(&self, now: Millis) -> f64 {
         let own = f64::from(self.own);
         let Some(report) = self.report else {
             return own;
         };
-        own + f64::from(report.others) * weight_of(now.since(report.at))
+        own + f64::from(report.others) * report_weight(now.since(report.at))
     }
 }
 
-/// How much a report of that age counts, 0 to 1.
-fn weight_of(age_ms: u64) -> f64 {
-    let fading = REPORT_OVER_MS.saturating_sub(age_ms) as f64;
-    (fading / (REPORT_OVER_MS - REPORT_FRESH_MS) as f64).min(1.0)
+/// Weight of a report by its age, 0 to 1.
+fn report_weight(age_ms: u64) -> f64 {
+    let fading = REPORT_EXPIRY_MS.saturating_sub(age_ms) as f64;
+    (fading / (REPORT_EXPIRY_MS - REPORT_FULL_WEIGHT_MS) as f64).min(1.0)
 }
--- a/crates/moleroad_dispatch/src/overdue_share.rs
+++ b/crates/moleroad_dispatch/src/overdue_share.rs
@@ -1,23 +1,25 @@
-//! How many places requests without hope of their wanted latency may take.
+//! Limit on the slots used by overdue requests, which can no longer meet their latency
+//! target.
 //!
-//! Each of them that runs may make another late. How many places are to spare
-//! differs between deployments and moments, and an entry sees it: requests that
-//! come in time find places, or they do not while overdue ones run. Those that
-//! some regions alone may serve are measured by the places there.
+//! Each overdue request that runs may delay another request. The spare capacity differs
+//! between deployments and over time, and an entry can observe it: requests that are on
+//! time either find slots, or find none while overdue requests run. Requests that are
+//! restricted to some regions are measured against the slots of those regions.
 
 use moleroad_types::prelude::{AllowedRegions, Region};
 use std::collections::BTreeMap;
 
-/// Largest share of the places.
-const MOST: f64 = 0.3;
-/// Smallest share of the places: some of those that wait are served always.
-const LEAST: f64 = 0.03;
-/// Factor for each request that missed its time while overdue ones ran.
-const SHRINK: f64 = 0.85;
-/// What each request that found a place in time adds.
-const GROWTH: f64 = 0.004;
+/// Maximum share of the slots.
+const MAX_SHARE: f64 = 0.3;
+/// Minimum share of the slots, so that some overdue requests are always served.
+const MIN_SHARE: f64 = 0.03;
+/// Factor applied for each request that found no slot in time while overdue ones ran.
+const DECREASE_FACTOR: f64 = 0.85;
+/// Increase for each request that found a slot in time.
+const INCREASE_STEP: f64 = 0.004;
 
-/// The share of an entry's part of all places that overdue requests may take.
+/// Share of this entry's slots that overdue requests may use, adjusted by additive
+/// increase and multiplicative decrease.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OverdueShare {
     share: f64,
@@ -27,41 +29,41 @@
 impl Default for OverdueShare {
     fn default() -> Self {
         Self {
-            share: MOST,
+            share: MAX_SHARE,
             running: BTreeMap::new(),
         }
     }
 }
 
 impl OverdueShare {
-    /// Notes that a request found a place in time.
+    /// Records that a request found a slot in time.
     pub fn in_time_placed(&mut self) {
-        self.share = (self.share + GROWTH).min(MOST);
+        self.share = (self.share + INCREASE_STEP).min(MAX_SHARE);
     }
 
-    /// Notes that a request found no place in time.
+    /// Records that a request found no slot in time.
     pub fn in_time_missed(&mut self) {
         if self.running_in(&AllowedRegions::all()) > 0 {
-            self.share = (self.share * SHRINK).max(LEAST);
+            self.share = (self.share * DECREASE_FACTOR).max(MIN_SHARE);
         }
     }
 
-    /// Notes that an overdue request is sent to a target of `region`.
+    /// Records that an overdue request is sent to a target in `region`.
     pub fn started(&mut self, region: &Region) {
         *self.running.entry(region.clone()).or_default() += 1;
     }
 
-    /// Notes that an overdue request ended at a target of `region`.
+    /// Records the end of an overdue request at a target in `region`.
     pub fn ended(&mut self, region: &Region) {
         if let Some(running) = self.running.get_mut(region) {
             *running = running.saturating_sub(1);
         }
     }
 
-    /// Whether another overdue request may be sent that these regions may serve,
-    /// where this entry's part of all places there is `places`.
-    pub fn admits(&self, places: f64, regions: &AllowedRegions) -> bool {
-        f64::from(self.running_in(regions)) < (places * self.share).max(1.0)
+    /// Returns whether another overdue request restricted to `regions` may be sent,
+    /// where `slots` is this entry's share of all slots there.
+    pub fn admits(&self, slots: f64, regions: &AllowedRegions) -> bool {
+        f64::from(self.running_in(regions)) < (slots * self.share).max(1.0)
     }
 
     fn running_in(&self, regions: &AllowedRegions) -> u32 {
--- a/crates/moleroad_dispatch/src/reading.rs
+++ b/crates/moleroad_dispatch/src/prefill.rs
@@ -1,24 +1,24 @@
-//! When the first event of a prompt can be expected.
+//! Expected time until the first event of a prompt.
 
-/// How fast the engines of a service read prompts.
+/// Prefill performance of a service's engines.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PrefillSpeed {
-    /// Prompt tokens read in a millisecond.
+    /// Prompt tokens prefilled per millisecond.
     pub tokens_per_ms: f64,
-    /// Tokens of a usual prompt.
+    /// Number of tokens in a typical prompt.
     pub usual_prompt: f64,
-    /// Time of the steps of one pass, after which the first event of a prompt
-    /// that was read comes, in milliseconds.
+    /// Duration of the generation steps of one pass, in milliseconds; the first event
+    /// of a prefilled prompt comes after them.
     pub steps_ms: f64,
-    /// Most tokens read in one pass; 0 unbounded.
+    /// Maximum number of tokens prefilled in one pass; 0 if unlimited.
     pub tokens_per_pass: f64,
 }
 
 impl PrefillSpeed {
-    /// Time until the first event of a prompt of `own` tokens that is sent to
-    /// an engine with `unread` tokens before it, of which `running` requests
-    /// write: half of the pass under way, then passes until all is read, each
-    /// with its steps.
+    /// Returns the time until the first event of a prompt of `own` tokens, in
+    /// milliseconds, at an engine with `unread` prompt tokens ahead of it and `running`
+    /// requests that are generating: half of the current pass, then passes until all
+    /// tokens are prefilled, each with its generation steps.
     pub fn first_event_ms(&self, own: f64, unread: f64, running: f64) -> f64 {
         let rate = self.tokens_per_ms.max(0.001);
         let per_pass = if self.tokens_per_pass > 0.0 {
--- a/crates/moleroad_dispatch/src/queue.rs
+++ b/crates/moleroad_dispatch/src/queue.rs
@@ -1,50 +1,50 @@
-//! Requests that wait at the entry for a place at a target.
+//! Requests that wait at the entry for a slot at a target.
 
 use moleroad_types::prelude::{AllowedRegions, Millis};
 
-/// Names a waiting request.
+/// Identifies a waiting request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct WaiterId(pub u64);
 
-/// What a waiting request still hopes for.
+/// Urgency class of a waiting request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum WaitClass {
-    /// An answer within its wanted latency, or the rest of one that was begun.
+    /// It can still meet its latency target, or it continues an answer that has begun.
     InTime,
-    /// An answer at all: its wanted latency can no longer be met.
+    /// It can no longer meet its latency target, but an answer is still useful.
     Overdue,
 }
 
-/// One waiting request.
+/// A waiting request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Waiter {
-    /// Its name.
+    /// Identifier.
     pub id: WaiterId,
-    /// What it still hopes for.
+    /// Urgency class.
     pub line: WaitClass,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
     /// When it began to wait.
     pub since: Millis,
-    /// Until when a place still makes its wanted latency.
+    /// Latest time at which a slot still meets its latency target.
     pub wanted_by: Millis,
-    /// Until when a place is of any use.
+    /// Time from which on a slot is of no use.
     pub until: Millis,
     /// Regions in which it may be served.
     pub regions: AllowedRegions,
 }
 
-/// Most requests that wait for one service; further ones are refused.
+/// Maximum number of requests waiting for one service; further ones are refused.
 pub const MAX_WAITING: usize = 512;
 
-/// The requests that wait for one service.
+/// The requests waiting for one service.
 #[derive(Clone, Debug, Default)]
 pub struct WaitQueue {
     waiters: Vec<Waiter>,
 }
 
 impl WaitQueue {
-    /// Adds a request; false when the queue is full.
+    /// Adds a request; returns false if the queue is full.
     pub fn enter(&mut self, waiter: Waiter) -> bool {
         if self.waiters.len() >= MAX_WAITING {
             return false;
@@ -53,30 +53,31 @@
         true
     }
 
-    /// Takes a request out, whether it was served or left.
+    /// Removes a request, whether it was served or gave up.
     pub fn leave(&mut self, id: WaiterId) {
         self.waiters.retain(|waiter| waiter.id != id);
     }
 
-    /// Number of waiting requests.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.waiters.len()
     }
 
-    /// Whether nobody waits.
+    /// Returns whether no request is waiting.
     pub fn is_empty(&self) -> bool {
         self.waiters.is_empty()
     }
 
-    /// Number of requests of one line that wait for any place that one with
-    /// these regions would wait for. Those that may be served in fewer regions
-    /// do not count: the places that they wait for may not be its own.
+    /// Returns the number of requests of a class that compete for every slot a request
+    /// with these regions could use. Requests allowed in fewer regions are not counted,
+    /// since they may be waiting for other slots.
     pub fn count_ahead(&self, line: WaitClass, regions: &AllowedRegions) -> usize {
         let is_ahead = |waiter: &&Waiter| waiter.line == line && waiter.regions.covers(regions);
         self.waiters.iter().filter(is_ahead).count()
     }
 
-    /// Notes that another configuration changed where a request may be served.
+    /// Updates the regions in which a waiting request may be served, after a
+    /// configuration change.
     pub fn set_regions(&mut self, id: WaiterId, regions: &AllowedRegions) {
         let found = self.waiters.iter_mut().find(|waiter| waiter.id == id);
         if let Some(waiter) = found {
@@ -84,35 +85,35 @@
         }
     }
 
-    /// Who should get the next place: those that hope for their wanted latency
-    /// before those that do not; among them those that can still be in time,
-    /// by rank, the longest waiting first. Passes over those that may be served
-    /// in regions alone that are `full`.
+    /// Returns the request that gets the next slot. Those that can still meet their
+    /// latency target go before overdue ones; then those whose latency deadline has not
+    /// passed, by priority and waiting time. Requests that may only be served in
+    /// regions that are `full` are skipped.
     pub fn next(&self, now: Millis, full: &[AllowedRegions]) -> Option<WaiterId> {
         let has_room = |waiter: &&Waiter| !full.iter().any(|full| full.covers(&waiter.regions));
-        let hopeful = self.useful(now).filter(has_room);
-        let first = hopeful.min_by_key(|waiter| rank(now, waiter));
+        let candidates = self.unexpired(now).filter(has_room);
+        let first = candidates.min_by_key(|waiter| rank(now, waiter));
         first.map(|waiter| waiter.id)
     }
 
-    /// Whether a request is among the first `count` of those of its line that
-    /// wait for the same places.
+    /// Returns whether a request is among the first `count` requests of its class that
+    /// compete for the same slots.
     pub fn is_among_first(&self, count: usize, id: WaiterId, now: Millis) -> bool {
         let Some(own) = self.waiters.iter().find(|waiter| waiter.id == id) else {
             return false;
         };
         let same_line = self
-            .useful(now)
+            .unexpired(now)
             .filter(|waiter| waiter.line == own.line && waiter.regions.covers(&own.regions));
         let before = same_line.filter(|waiter| rank(now, waiter) < rank(now, own));
         before.count() < count
     }
 
-    fn useful(&self, now: Millis) -> impl Iterator<Item = &Waiter> {
+    fn unexpired(&self, now: Millis) -> impl Iterator<Item = &Waiter> {
         self.waiters.iter().filter(move |waiter| now < waiter.until)
     }
 
-    /// Requests whose time is over at `now`.
+    /// Returns the requests that have expired at `now`.
     pub fn expired(&self, now: Millis) -> Vec<WaiterId> {
         let over = self.waiters.iter().filter(|waiter| now >= waiter.until);
         over.map(|waiter| waiter.id).collect()
--- a/crates/moleroad_dispatch/src/rate_bound.rs
+++ b/crates/moleroad_dispatch/src/rate_bound.rs
@@ -1,45 +1,43 @@
-//! A bound of requests a second on one target that all entries keep together.
+//! Bound on the rate of requests to one target, kept by all entries together.
 //!
-//! One owner beside the target gives grants from a [`TokenBucket`]; an entry
-//! sends only on a grant, and only within the grant's life. Entries need not
-//! agree on anything, and it does not matter which of them are in touch: what
-//! arrives in a second was granted in that second, or at most a life and a
-//! delay on the way before it. So at most `rate × (1 + life + delay) + depth`
-//! requests arrive in any second. [`RateBound::terms`] chooses rate and depth
-//! so that this stays below the bound with a margin.
+//! One owner, the target's agent, gives grants from a [`TokenBucket`]. An entry sends
+//! only with a grant, and only until the grant expires. The entries need no agreement,
+//! and it does not matter which of them are connected: a request that arrives in some
+//! second was granted in that second, or at most one grant lifetime and one network
+//! delay before it. So at most `rate × (1 + lifetime + delay) + burst` requests arrive
+//! in any second. The rate and burst are chosen so that this stays below the bound with
+//! a margin ([`RateBound`]).
 //!
-//! Targets that have no such owner are divided up: see
-//! [`division`](crate::division).
+//! For targets without such an owner, see [`division`](crate::division).
 
 use moleroad_types::prelude::Millis;
 
-/// How long a grant may be used, in milliseconds, counted at the entry from
-/// when it asked: an answer on the way back, and a new connection to the
-/// target.
+/// Lifetime of a grant, in milliseconds, counted at the entry from the time of its
+/// query: covers the way of the answer and a new connection to the target.
 pub const GRANT_TTL_MS: u64 = 150;
-/// Longest way of a request that was sent, in milliseconds, that the sums allow
-/// for: a crowded link between two regions.
-pub const DELAY_MS: u64 = 100;
-/// Part of the bound that is used at most: entries that learn of the bound a
-/// moment late have sent a few requests without grants.
-const USED_PART: f64 = 0.9;
-/// Grants that are kept for the next moment, as a time at the rate, in
-/// milliseconds: requests come by chance, and what nobody asks for is lost.
-pub(crate) const DEPTH_MS: f64 = 200.0;
+/// Maximum network delay of a request that the calculation allows for, in milliseconds:
+/// a congested link between two regions.
+pub const MAX_DELAY_MS: u64 = 100;
+/// Fraction of the bound that is used: entries that learn of the bound late have
+/// already sent a few requests without grants.
+const USED_FRACTION: f64 = 0.9;
+/// Burst of the token bucket, in milliseconds at its rate: requests arrive at random,
+/// and a token that is not used while the bucket is full is lost.
+pub(crate) const BURST_MS: f64 = 200.0;
 pub(crate) const MS_PER_S: f64 = 1_000.0;
 
-/// What a target should get, and what it must never get.
+/// Desired and maximum request rate of a target.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateBound {
-    /// Requests a second that it should get when there are enough.
+    /// Requests per second that it should get if there is enough demand.
     pub requests_per_s: f64,
-    /// Most requests in any one second, from all entries.
+    /// Maximum number of requests in any one second, from all entries.
     pub most_in_a_second: f64,
 }
 
 impl RateBound {
-    /// The bound on a target that bears `requests_per_s`, of which `overshoot`
-    /// times as many and `slack` more are borne in a single second.
+    /// Returns the bound of a target that sustains `requests_per_s` and tolerates that
+    /// rate times `overshoot`, plus `slack` requests, in a single second.
     pub fn new(requests_per_s: f64, overshoot: f64, slack: f64) -> Self {
         Self {
             requests_per_s,
@@ -47,92 +45,93 @@
         }
     }
 
-    /// Whole requests that may come in one second.
-    pub fn whole(self) -> f64 {
+    /// Returns the whole number of requests that may arrive in one second.
+    pub fn whole_requests(self) -> f64 {
         self.most_in_a_second.max(0.0).floor()
     }
 
-    /// Rate and depth of the grants; `None` when not even one request may come
+    /// Returns the token bucket parameters; `None` if not even one request may arrive
     /// in a second.
-    pub fn terms(self) -> Option<GrantTerms> {
-        let whole = self.whole();
-        if whole < 1.0 || self.requests_per_s <= 0.0 {
+    pub fn terms(self) -> Option<BucketParams> {
+        let whole_requests = self.whole_requests();
+        if whole_requests < 1.0 || self.requests_per_s <= 0.0 {
             return None;
         }
-        let used = whole * USED_PART;
-        // A bucket of one token gives at most `rate × window + 1` in a window,
-        // rounded down: that is the bound itself while `rate × window` is less.
-        let per_s = self.requests_per_s.min(used / WINDOW_S);
-        let room = used + 1.0 - per_s * WINDOW_S;
-        let depth = (per_s * DEPTH_MS / MS_PER_S).min(room).max(1.0);
-        Some(GrantTerms { per_s, depth })
+        let used = whole_requests * USED_FRACTION;
+        // A bucket with a burst of one gives at most `rate × window + 1` tokens in a
+        // window, rounded down: that is the bound itself while `rate × window` is less.
+        let per_s = self.requests_per_s.min(used / GRANT_WINDOW_S);
+        let room = used + 1.0 - per_s * GRANT_WINDOW_S;
+        let burst = (per_s * BURST_MS / MS_PER_S).min(room).max(1.0);
+        Some(BucketParams { per_s, burst })
     }
 }
 
-/// Span in which requests were granted that arrive in one second, in seconds.
-const WINDOW_S: f64 = 1.0 + (GRANT_TTL_MS + DELAY_MS) as f64 / MS_PER_S;
+/// Window in which requests that arrive within one second were granted, in seconds.
+const GRANT_WINDOW_S: f64 = 1.0 + (GRANT_TTL_MS + MAX_DELAY_MS) as f64 / MS_PER_S;
 
-/// How grants are given.
+/// Parameters of a token bucket.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct GrantTerms {
-    /// Grants in a second.
+pub struct BucketParams {
+    /// Grants per second.
     pub per_s: f64,
-    /// Most grants that are given at one moment.
-    pub depth: f64,
+    /// Capacity: the maximum number of grants given at one instant.
+    pub burst: f64,
 }
 
-impl GrantTerms {
-    /// Most requests that arrive in one second, whoever sends them.
+impl BucketParams {
+    /// Returns the maximum number of requests that arrive in one second, from all
+    /// entries.
     pub fn most_in_a_second(self) -> f64 {
-        (self.per_s * WINDOW_S + self.depth).floor()
+        (self.per_s * GRANT_WINDOW_S + self.burst).floor()
     }
 }
 
-/// Gives grants at a rate. It is empty when it begins: grants of an earlier
-/// owner may still be under way.
+/// Token bucket that gives grants. It starts empty, since grants of a previous owner
+/// may still be in flight.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenBucket {
-    terms: GrantTerms,
+    params: BucketParams,
     tokens: f64,
-    at: Millis,
+    refilled_at: Millis,
 }
 
 impl TokenBucket {
-    /// An empty bucket.
-    pub fn new(now: Millis, terms: GrantTerms) -> Self {
+    /// Creates an empty bucket.
+    pub fn new(now: Millis, params: BucketParams) -> Self {
         Self {
-            terms,
+            params,
             tokens: 0.0,
-            at: now,
+            refilled_at: now,
         }
     }
 
-    /// A bucket with all the grants that it can have.
-    pub fn full(now: Millis, terms: GrantTerms) -> Self {
+    /// Creates a full bucket.
+    pub fn full(now: Millis, params: BucketParams) -> Self {
         Self {
-            tokens: terms.depth,
-            ..Self::new(now, terms)
+            tokens: params.burst,
+            ..Self::new(now, params)
         }
     }
 
-    /// Whether it has all the grants that it can have.
+    /// Returns whether the bucket is full.
     pub fn is_full(&mut self, now: Millis) -> bool {
-        self.fill(now);
-        self.tokens >= self.terms.depth
+        self.refill(now);
+        self.tokens >= self.params.burst
     }
 
-    /// Goes on under other terms; true if they differ.
-    pub fn set_params(&mut self, now: Millis, terms: GrantTerms) -> bool {
-        self.fill(now);
-        let differ = self.terms != terms;
-        self.terms = terms;
-        self.tokens = self.tokens.min(terms.depth);
+    /// Changes the parameters; returns true if they differ.
+    pub fn set_params(&mut self, now: Millis, params: BucketParams) -> bool {
+        self.refill(now);
+        let differ = self.params != params;
+        self.params = params;
+        self.tokens = self.tokens.min(params.burst);
         differ
     }
 
-    /// Gives one grant, if there is one.
+    /// Takes one grant, if one is available.
     pub fn take(&mut self, now: Millis) -> bool {
-        self.fill(now);
+        self.refill(now);
         let is_given = self.tokens >= 1.0;
         if is_given {
             self.tokens -= 1.0;
@@ -140,23 +139,23 @@
         is_given
     }
 
-    /// Grants that can be given now.
+    /// Returns the number of grants available now.
     pub fn free(&mut self, now: Millis) -> u32 {
-        self.fill(now);
+        self.refill(now);
         self.tokens as u32
     }
 
-    /// Gives nothing of what came up until now: its owner stood still, and so
-    /// perhaps did those whom it gave grants.
+    /// Discards all tokens up to `now`: the owner was suspended, and entries that hold
+    /// its grants may have been suspended too.
     pub fn empty(&mut self, now: Millis) {
         self.tokens = 0.0;
-        self.at = self.at.max(now);
+        self.refilled_at = self.refilled_at.max(now);
     }
 
-    /// A clock that stands or steps back adds nothing.
-    fn fill(&mut self, now: Millis) {
-        let passed_s = now.since(self.at) as f64 / MS_PER_S;
-        self.at = self.at.max(now);
-        self.tokens = (self.tokens + passed_s * self.terms.per_s).min(self.terms.depth);
+    /// A clock that stalls or goes backwards adds nothing.
+    fn refill(&mut self, now: Millis) {
+        let passed_s = now.since(self.refilled_at) as f64 / MS_PER_S;
+        self.refilled_at = self.refilled_at.max(now);
+        self.tokens = (self.tokens + passed_s * self.params.per_s).min(self.params.burst);
     }
 }
--- a/crates/moleroad_dispatch/tests/cold_admission.rs
+++ b/crates/moleroad_dispatch/tests/cold_admission.rs
@@ -1,8 +1,8 @@
-//! The last look at a target that may be cold, before a send begins.
+//! The final check of a target that may be cold, before a send starts.
 
 mod support;
 
-use moleroad_dispatch::division::SPAN_MS;
+use moleroad_dispatch::division::QUOTA_WINDOW_MS;
 use moleroad_dispatch::prelude::*;
 use moleroad_types::prelude::Millis;
 use std::sync::Arc;
@@ -52,7 +52,7 @@
     assert!(!with(&turned).may_begin(now, &turned));
     assert!(with(&turned).may_begin(now, &granted(&turned, 4_000)));
     assert!(!with(&turned).may_begin(now, &granted(&turned, 3_999)));
-    // It is cold no longer.
+    // It is no longer cold.
     assert!(with(&turned).may_begin(Millis(5_000), &warm));
 }
 
@@ -80,17 +80,18 @@
     targets.started(Millis(4_000), &owned.id, 0);
     assert!(!targets.may_begin(Millis(4_000), &warm));
     assert!(targets.may_begin(Millis(4_000), &granted(&owned, 4_100)));
-    // Another entry has its part by now.
+    // Meanwhile the quota belongs to another entry.
     let foreign = target(Some(cold(false, 0)));
     assert!(!with(&foreign).may_begin(Millis(4_000), &granted(&owned, 4_100)));
-    // A part is no grant.
+    // A quota reservation is not a grant.
     let requires_grant = target(Some(cold(true, 0)));
     assert!(!with(&requires_grant).may_begin(Millis(4_000), &granted(&owned, 4_100)));
 }
 
-/// What an entry tells the agent at 2,000 ms of a target whose data hall was
-/// taken back at 1,000 ms, and which said before that `left_ms` were left.
-fn told_of_restored(left_ms: u64) -> (ColdSource, u64) {
+/// Returns the source of the cold state, and the remaining time that an entry passes on
+/// to the agent at 2,000 ms, for a target whose hall returned to service at 1,000
+/// ms and that reported `left_ms` before that.
+fn passed_on_after_restore(left_ms: u64) -> (ColdSource, u64) {
     let news = ColdEvidence {
         lasts_ms: 3_000,
         first_heard: Millis(0),
@@ -111,8 +112,8 @@
 
 #[test]
 fn an_entry_passes_on_the_word_of_a_target_and_no_assumption() {
-    assert_eq!(told_of_restored(0), (ColdSource::Restored, 0));
-    assert_eq!(told_of_restored(1_500), (ColdSource::Restored, 400));
+    assert_eq!(passed_on_after_restore(0), (ColdSource::Restored, 0));
+    assert_eq!(passed_on_after_restore(1_500), (ColdSource::Restored, 400));
 }
 
 #[test]
@@ -125,19 +126,25 @@
     targets.set(Vec::new());
     targets.set(vec![owned.clone()]);
     let admission = |targets: &Targets, now| targets.admission(Millis(now), &owned);
-    assert_eq!(admission(&targets, 3_000 + SPAN_MS - 1), Admission::Denied);
-    assert_eq!(admission(&targets, 3_000 + SPAN_MS), Admission::Quota);
-    // Those that are over are forgotten with the next send to any target.
-    targets.started(Millis(3_000 + SPAN_MS), &owned.id, 0);
+    assert_eq!(
+        admission(&targets, 3_000 + QUOTA_WINDOW_MS - 1),
+        Admission::Denied
+    );
+    assert_eq!(
+        admission(&targets, 3_000 + QUOTA_WINDOW_MS),
+        Admission::Quota
+    );
+    // Expired send times are dropped with the next send to any target.
+    targets.started(Millis(3_000 + QUOTA_WINDOW_MS), &owned.id, 0);
     assert_eq!(admission(&targets, 4_500), Admission::Denied);
 }
 
 #[test]
 fn a_rate_below_one_a_second_has_an_owner() {
     let division = Division::of(RateBound::new(0.5, 1.5, 5.0));
-    assert_eq!((division.owners, division.part), (1, 1));
+    assert_eq!((division.owners, division.quota), (1, 1));
     assert_eq!(Division::of(RateBound::new(0.0, 1.5, 5.0)).owners, 0);
     assert_eq!(Division::of(RateBound::new(15.0, 1.5, 5.0)).owners, 13);
-    // One request in a second for each of two sets would be above it.
+    // One request per second for each of two owner sets would exceed it.
     assert_eq!(Division::of(RateBound::new(0.5, 1.5, 0.0)).owners, 0);
 }
--- a/crates/moleroad_dispatch/tests/dispatch.rs
+++ b/crates/moleroad_dispatch/tests/dispatch.rs
@@ -1,4 +1,4 @@
-//! Choice, health, queue and budget on their own.
+//! Unit tests of choice, health, queue and budget.
 
 mod support;
 
@@ -48,7 +48,7 @@
         Choice::Full
     );
     assert_eq!(targets.free_places(Millis(1), &AllowedRegions::all()), 0.0);
-    // A report that is old counts less and less.
+    // An old report loses weight.
     assert!(matches!(
         targets.choose(Millis(5_000), Requirements::default(), 0),
         Choice::Send(_)
@@ -129,11 +129,11 @@
 #[test]
 fn health_forgets_and_doubles_its_patience() {
     let mut health = Health::default();
-    health.note(Millis(0), Outcome::Unreachable);
+    health.record(Millis(0), Outcome::Unreachable);
     assert!(!health.is_avoided(Millis(400)));
-    health.note(Millis(400), Outcome::Unreachable);
+    health.record(Millis(400), Outcome::Unreachable);
     assert!(health.is_avoided(Millis(1_199)));
-    health.note(Millis(1_200), Outcome::Answered);
+    health.record(Millis(1_200), Outcome::Answered);
     assert!(!health.is_avoided(Millis(1_200)));
     assert!(health.failure_rate(Millis(30_000)) < 0.01);
 }
@@ -231,7 +231,7 @@
         targets.was_read(&TargetId::new("running"), 3_000);
     }
     assert_eq!(chosen(&targets, 0).as_deref(), Some("running"));
-    // Prompts of others count as usual ones.
+    // Prompts of other entries count with the typical length.
     targets.reported(Millis(0), &TargetId::new("running"), 2, 1);
     targets.was_read(&TargetId::new("reading"), 3_000);
     assert_eq!(chosen(&targets, 0).as_deref(), Some("reading"));
@@ -253,7 +253,7 @@
         first_event_within_ms,
         ..Requirements::default()
     };
-    // Half of a pass of 250 ms, 3,000 tokens at 10 a millisecond, the steps of
+    // Half of a pass of 250 ms, 3,000 tokens at 10 per millisecond, and the steps of
     // two passes: 525 ms.
     let at = |first_event_within_ms| targets.choose(Millis(0), within(first_event_within_ms), 0);
     assert_eq!(at(Some(524)), Choice::Full);
@@ -287,7 +287,7 @@
             assert_eq!(shares.iter().sum::<u32>(), 16, "{shares:?}");
             totals.iter_mut().zip(&shares).for_each(|(t, s)| *t += s);
         }
-        // Over many targets an entry has what its demand is worth.
+        // Over many targets, each entry's slots match its demand.
         assert!(totals.iter().all(|total| *total > 0), "{totals:?}");
         assert!(totals[9] >= totals[1], "{totals:?}");
     }
@@ -311,8 +311,8 @@
         .map(|n| shares.of(&format!("target-{n}"), 8))
         .sum();
     assert_eq!(read.get(), names.len());
-    // One in 500 of 32,000 places, within what rounding does.
-    assert!((44..=84).contains(&places), "{places} places");
+    // One in 500 of 32,000 slots, within rounding.
+    assert!((44..=84).contains(&places), "{places} slots");
 }
 
 #[test]
@@ -333,12 +333,12 @@
     targets.reported(Millis(0), &id, 6, 0);
     assert!(takes(&targets), "it is not nearly full");
     targets.reported(Millis(0), &id, 8, 0);
-    assert!(takes(&targets), "one of the last places is its own");
+    assert!(takes(&targets), "one of the last slots is its own");
     targets.started(Millis(1), &id, 0);
-    assert!(!takes(&targets), "its own place is used");
+    assert!(!takes(&targets), "its own slot is used");
     targets.finished(Millis(1), &id, Outcome::Answered);
     targets.reported(Millis(1), &id, 11, 0);
-    assert!(!takes(&targets), "the target is over its slots");
+    assert!(!takes(&targets), "the target has more requests than slots");
 }
 
 #[test]
@@ -365,7 +365,7 @@
         targets.started(Millis(10), &id, 100);
     }
     assert!(!takes(&targets, 10));
-    // A report, or time enough for one, makes room for more.
+    // A report, or enough time for one, makes room for more.
     targets.reported(Millis(20), &id, 2, 0);
     assert!(takes(&targets, 20));
 }
@@ -388,11 +388,11 @@
         let running = 3 + (index as u32 * 7) % 6;
         targets.reported(Millis(0), &TargetId::new(name), running, 0);
     }
-    // Each of 40 entries decides on the same reports by a draw of its own.
+    // Each of 40 entries decides on the same reports with its own random value.
     let mut sent = std::collections::BTreeMap::<String, u32>::new();
     for entry in 0..40_u64 {
-        let draw = (entry + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15);
-        match targets.choose(Millis(1), Requirements::default(), draw) {
+        let random = (entry + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15);
+        match targets.choose(Millis(1), Requirements::default(), random) {
             Choice::Send(candidate) => *sent.entry(candidate.id.to_string()).or_default() += 1,
             other => panic!("{other:?}"),
         }
--- a/crates/moleroad_dispatch/tests/engines.rs
+++ b/crates/moleroad_dispatch/tests/engines.rs
@@ -1,4 +1,4 @@
-//! Choosing among engines, whose agents are asked, and health of connections.
+//! Choice among engines whose agents are queried, and reachability of targets.
 
 mod support;
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// Six engines near and four far, whose agents can be asked.
+/// Six engines in the own region and four in others, all with agents.
 fn engines() -> Targets {
     let near = (0..6).map(|index| engine(&format!("near-{index}"), Distance::SameHall));
     let far = (0..4).map(|index| engine(&format!("far-{index}"), Distance::OtherRegion));
@@ -45,26 +45,26 @@
     let targets = engines();
     assert!(targets.have_agents());
     let mut seen = std::collections::BTreeSet::new();
-    for draw in 0..200_u64 {
-        let draw = draw.wrapping_mul(0x9E37_79B9_7F4A_7C15);
+    for random in 0..200_u64 {
+        let random = random.wrapping_mul(0x9E37_79B9_7F4A_7C15);
         let near = targets.shortlist(
             Millis(0),
             Requirements::default(),
             SearchScope::OwnRegion,
-            draw,
+            random,
         );
         let far = targets.shortlist(
             Millis(0),
             Requirements::default(),
             SearchScope::OtherRegions,
-            draw,
+            random,
         );
         assert_eq!((near.len(), far.len()), (3, 2));
         assert!(near.iter().all(|c| c.id.as_str().starts_with("near")));
         assert!(far.iter().all(|c| c.id.as_str().starts_with("far")));
         seen.extend(near.into_iter().chain(far).map(|c| c.id));
     }
-    assert_eq!(seen.len(), 10, "every engine has its turn");
+    assert_eq!(seen.len(), 10, "every engine is sampled");
 }
 
 #[test]
@@ -73,7 +73,7 @@
     let only = [engine("near-0", Distance::SameHall)];
     let id = &only[0].id;
     targets.reported(Millis(0), id, 14, 0);
-    // Beyond its own two places an entry sends only by what is new.
+    // Beyond its own two slots, an entry sends only on a current report.
     targets.started(Millis(0), id, 100);
     targets.started(Millis(0), id, 100);
     targets.reported(Millis(10), id, 14, 0);
@@ -82,7 +82,7 @@
     assert!(best(&targets, 20).is_some());
     assert!(best(&targets, 200).is_none());
     targets.reported(Millis(300), id, 16, 0);
-    assert!(best(&targets, 301).is_none(), "no place is free");
+    assert!(best(&targets, 301).is_none(), "no slot is free");
 }
 
 #[test]
@@ -95,7 +95,7 @@
         targets.reported(Millis(0), &candidate.id, 8, queued);
     }
     let best = targets.best_of(Millis(1), Requirements::default(), &looked_at);
-    let best = best.expect("places are free");
+    let best = best.expect("slots are free");
     assert_eq!(best.id.as_str(), "near-1");
     assert!(targets.is_good_enough(Millis(1), &best));
     assert!(!targets.is_good_enough(Millis(1), &looked_at[0]));
@@ -113,7 +113,8 @@
     assert!(!targets.load(&id).agent_is_backed_off(Millis(420)));
 }
 
-/// Whether the one target is reachable at `now`, after these ends of sends.
+/// Returns whether the only target is reachable at `now`, after sends with these
+/// outcomes.
 fn is_reachable(ends: &[(u64, Outcome)], now: u64) -> bool {
     let mut targets = Targets::default();
     targets.set(vec![candidate("a", Distance::SameHall)]);
@@ -127,7 +128,7 @@
 #[test]
 fn a_target_is_unreachable_while_connections_fail_and_is_tried_again_soon() {
     use Outcome::*;
-    // Several connections that fail together are one sign.
+    // Concurrent failed connections count as one failure.
     assert!(is_reachable(&[(0, Unreachable), (10, Unreachable)], 20));
     let failing = [(0, Unreachable), (450, Unreachable)];
     assert!(!is_reachable(&failing, 460));
@@ -137,7 +138,7 @@
         &[failing[0], failing[1], (1_300, Unreachable)],
         1_310
     ));
-    // What answers, if only with a failure, is reachable.
+    // A target that answers, even with a failure, is reachable.
     for outcome in [Answered, Failed, Broken, TurnedAway] {
         assert!(is_reachable(&[failing[0], failing[1], (455, outcome)], 460));
     }
@@ -153,7 +154,7 @@
     let looked_at = [0, 1].map(|index| engine(&format!("near-{index}"), Distance::SameHall));
     let [silent, busy] = [&looked_at[0].id, &looked_at[1].id];
     targets.reported(Millis(0), silent, 4, 0);
-    // Its report has faded; an engine with some work in hand answers.
+    // Its report has expired, while an engine with some load answers.
     for at in [5_000, 5_300, 5_600] {
         targets.agent_timed_out(Millis(at), silent);
     }
@@ -164,7 +165,11 @@
     };
     assert_eq!(best(&targets).as_ref(), Some(busy));
     targets.reported(Millis(5_601), silent, 4, 0);
-    assert_eq!(best(&targets).as_ref(), Some(silent), "it is heard again");
+    assert_eq!(
+        best(&targets).as_ref(),
+        Some(silent),
+        "its agent answers again"
+    );
     assert!(
         targets
             .best_of(Millis(5_601), Requirements::default(), &looked_at[..1])
@@ -187,26 +192,26 @@
     assert_eq!(
         sent(&targets, &looked_at).as_ref(),
         Some(silent),
-        "one may be lost"
+        "one answer may be lost"
     );
     targets.agent_timed_out(Millis(10), silent);
     assert_eq!(
         sent(&targets, &looked_at).as_ref(),
         Some(silent),
-        "side by side"
+        "concurrent timeouts count once"
     );
     targets.agent_timed_out(Millis(300), silent);
     assert_eq!(sent(&targets, &looked_at), None);
     assert_eq!(
         sent(&targets, &looked_at[..1]).as_ref(),
         Some(silent),
-        "no agent can be asked"
+        "all candidates are presumed unreachable"
     );
     targets.reported(Millis(301), silent, 0, 0);
     assert_eq!(
         sent(&targets, &looked_at).as_ref(),
         Some(silent),
-        "it is heard again"
+        "its agent answers again"
     );
 }
 
@@ -215,12 +220,12 @@
     let mut targets = engines();
     let id = TargetId::new("near-0");
     let is_drawn = |targets: &Targets, now| {
-        (0..200).any(|draw| {
+        (0..200).any(|random| {
             let drawn = targets.shortlist(
                 Millis(now),
                 Requirements::default(),
                 SearchScope::OwnRegion,
-                draw,
+                random,
             );
             drawn.iter().any(|candidate| candidate.id == id)
         })
@@ -250,7 +255,7 @@
     };
     assert_eq!(sent(&mut targets, 3_299), None);
     assert_eq!(sent(&mut targets, 3_300).as_ref(), Some(silent));
-    // What is over does not add to a new silence.
+    // Expired timeouts do not add to a new one.
     targets.agent_timed_out(Millis(3_400), silent);
     assert_eq!(sent(&mut targets, 3_401).as_ref(), Some(silent));
 }
--- a/crates/moleroad_dispatch/tests/limit.rs
+++ b/crates/moleroad_dispatch/tests/limit.rs
@@ -1,4 +1,4 @@
-//! The limit that a target named: what its owner grants, and which sends need it.
+//! Rate limits named by targets: what the owner grants, and which sends need a grant.
 
 mod support;
 
@@ -7,21 +7,22 @@
 use moleroad_types::prelude::Millis;
 use std::sync::Arc;
 
-/// Span over which a target counts, and the longest life of a grant with its way, in
-/// milliseconds.
-const SPAN_MS: u64 = 4_000;
-const LATE_MS: u64 = 250;
-/// Requests that a target bears in a span: half as many again as it named, and five.
-fn borne(per_s: f64) -> f64 {
-    per_s * SPAN_MS as f64 / 1_000.0 * 1.5 + 5.0
+/// Window in which a target counts requests, and the maximum lifetime of a grant plus
+/// its network delay, in milliseconds.
+const WINDOW_MS: u64 = 4_000;
+const MAX_LATENESS_MS: u64 = 250;
+/// Requests that a target tolerates in a window: 1.5 times the named rate, plus five.
+fn tolerated(per_s: f64) -> f64 {
+    per_s * WINDOW_MS as f64 / 1_000.0 * 1.5 + 5.0
 }
 
-/// Grants that a bucket, full at first, gives in a span and the time of late ones.
-fn most_granted(per_s: f64) -> u32 {
+/// Grants that an initially full bucket gives in a window plus the time of late
+/// requests.
+fn max_granted(per_s: f64) -> u32 {
     let terms = limit_bucket_params(RequestRate::per_s(per_s));
     let mut bucket = TokenBucket::full(Millis(0), terms);
     let mut given = 0;
-    for at in 0..=SPAN_MS + LATE_MS {
+    for at in 0..=WINDOW_MS + MAX_LATENESS_MS {
         while bucket.take(Millis(at)) {
             given += 1;
         }
@@ -35,8 +36,8 @@
         0, 1, 50, 300, 700, 1_000, 2_200, 2_400, 7_000, 40_000, 900_000,
     ] {
         let per_s = milli as f64 / 1_000.0;
-        let most = most_granted(per_s);
-        assert!(f64::from(most) <= borne(per_s), "{per_s}: {most}");
+        let most = max_granted(per_s);
+        assert!(f64::from(most) <= tolerated(per_s), "{per_s}: {most}");
         assert!(f64::from(most) >= per_s * 4.0, "{per_s}: {most}");
     }
 }
@@ -44,9 +45,9 @@
 #[test]
 fn an_owner_that_takes_over_within_a_span_adds_one_bucket_alone() {
     for per_s in [0.5, 1.0, 2.4, 10.0, 100.0] {
-        let depth = limit_bucket_params(RequestRate::per_s(per_s)).depth.ceil();
-        let both = f64::from(most_granted(per_s)) + depth;
-        assert!(both <= borne(per_s), "{per_s}: {both}");
+        let burst = limit_bucket_params(RequestRate::per_s(per_s)).burst.ceil();
+        let both = f64::from(max_granted(per_s)) + burst;
+        assert!(both <= tolerated(per_s), "{per_s}: {both}");
     }
 }
 
@@ -109,10 +110,13 @@
     let targets = with(&[&limited]);
     assert_eq!(targets.admission(now, &limited), Admission::Grant);
     assert!(!targets.may_begin(now, &limited), "without a grant");
-    assert!(!targets.may_begin(now, &free), "chosen before it was known");
+    assert!(
+        !targets.may_begin(now, &free),
+        "chosen before the limit was known"
+    );
     assert!(targets.may_begin(now, &granted(1_000)));
     assert!(!targets.may_begin(now, &granted(999)), "lapsed");
-    // It named no limit any more meanwhile.
+    // The target no longer names a limit.
     assert!(with(&[&free]).may_begin(now, &limited));
 }
 
@@ -161,8 +165,8 @@
     let mut targets = with(&[&limited, &free]);
     let (now, needs) = (Millis(1_000), Requirements::default());
     assert!(targets.require_queries() && !targets.have_agents());
-    for draw in 0..20 {
-        let Choice::Send(chosen) = targets.choose(now, needs, draw) else {
+    for random in 0..20 {
+        let Choice::Send(chosen) = targets.choose(now, needs, random) else {
             panic!("a free target");
         };
         assert_eq!(chosen.id, free.id);
@@ -171,7 +175,7 @@
     assert_eq!(asked(&targets).len(), 1);
     assert_eq!(asked(&targets)[0].id, limited.id);
     (0..8).for_each(|_| targets.started(now, &limited.id, 0));
-    assert!(asked(&targets).is_empty(), "it has no place");
+    assert!(asked(&targets).is_empty(), "it has no free slot");
     assert!(!with(&[&free]).require_queries());
 }
 
--- a/crates/moleroad_dispatch/tests/overdue.rs
+++ b/crates/moleroad_dispatch/tests/overdue.rs
@@ -1,5 +1,5 @@
-//! Requests that wait though their wanted latency cannot be met: who goes
-//! first, how soon they get a place, what they leave to others.
+//! Overdue requests, which wait although their latency target cannot be met: their
+//! order, their expected wait, and the slots they leave to others.
 
 mod support;
 
@@ -30,7 +30,7 @@
         queue.count_ahead(WaitClass::Overdue, &AllowedRegions::all()),
         2
     );
-    // Each line looks for places by itself.
+    // Each class is searched for slots separately.
     assert!(queue.is_among_first(1, WaiterId(1), Millis(100)));
     assert!(!queue.is_among_first(1, WaiterId(2), Millis(100)));
     assert!(queue.is_among_first(2, WaiterId(2), Millis(100)));
@@ -57,9 +57,9 @@
     pace.entered(Millis(0), 0);
     pace.entered(Millis(50), 1);
     assert!(pace.expected_wait_ms(Millis(100), 2) < 1_000.0);
-    // Two seconds without a place: the third would wait six.
+    // Two seconds without a slot: the third request would wait six.
     assert!(pace.expected_wait_ms(Millis(2_000), 2) >= 6_000.0);
-    // Who comes when nobody waits begins anew.
+    // A request that arrives when none is waiting starts over.
     assert!(pace.expected_wait_ms(Millis(9_000), 0) < 1_000.0);
 }
 
@@ -102,7 +102,7 @@
 #[test]
 fn overdue_requests_give_way_when_others_miss_their_time() {
     let mut share = OverdueShare::default();
-    // A dozen places: three may run.
+    // With ten slots, three may run.
     for _ in 0..3 {
         assert!(share.admits(10.0, &AllowedRegions::all()));
         share.started(&Region::new("r"));
@@ -111,11 +111,11 @@
     (0..8).for_each(|_| share.in_time_missed());
     share.ended(&Region::new("r"));
     assert!(!share.admits(10.0, &AllowedRegions::all()));
-    // One always may.
+    // One may always run.
     share.ended(&Region::new("r"));
     share.ended(&Region::new("r"));
     assert!(share.admits(10.0, &AllowedRegions::all()));
-    // Nobody runs: what is missed is not their fault.
+    // No overdue request is running, so that the miss is not caused by one.
     let before = share.clone();
     share.in_time_missed();
     assert_eq!(share, before);
--- a/crates/moleroad_dispatch/tests/rate_bound.rs
+++ b/crates/moleroad_dispatch/tests/rate_bound.rs
@@ -1,10 +1,9 @@
-//! A bound of requests a second on a target that all entries keep together,
-//! in virtual time.
+//! The rate bound of a target that all entries keep together, in virtual time.
 
 use moleroad_dispatch::cold::ColdEvidence;
-use moleroad_dispatch::division::SPAN_MS;
+use moleroad_dispatch::division::QUOTA_WINDOW_MS;
 use moleroad_dispatch::prelude::*;
-use moleroad_dispatch::rate_bound::DELAY_MS;
+use moleroad_dispatch::rate_bound::MAX_DELAY_MS;
 use moleroad_types::prelude::Millis;
 use proptest::prelude::*;
 
@@ -12,7 +11,7 @@
     RateBound::new(15.0, 1.5, 5.0)
 }
 
-/// The most requests that arrive in any one second.
+/// Returns the maximum number of requests that arrive in any one second.
 fn most_in_a_second(arrivals: &[u64]) -> usize {
     let mut sorted = arrivals.to_vec();
     sorted.sort_unstable();
@@ -24,29 +23,29 @@
     sorted.iter().map(within).max().unwrap_or(0)
 }
 
-/// What happens to the agent that gives the grants.
+/// A fault of the agent that gives the grants.
 #[derive(Clone, Copy, Debug)]
-enum Fate {
-    /// It is killed and there again after a time.
+enum Fault {
+    /// It is killed and restarts after this time.
     Killed(u64),
-    /// It stands still and goes on with what came meanwhile.
+    /// It freezes for this time, then handles the queries that arrived meanwhile.
     Frozen(u64),
-    /// It works and its clock stands.
+    /// It keeps running, but its clock stands still for this time.
     ClockStands(u64),
 }
 
-/// One request of some entry for a grant, and how late everything is.
+/// A query of some entry for a grant, with the delays of each step.
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
     at: u64,
-    /// Way of the question; `None` when it is lost.
-    to_agent: Option<u64>,
-    /// Way of the answer.
-    back: u64,
-    /// How long the entry does something else, or stands still, before it sends.
-    dawdles: u64,
-    /// Way of the request.
-    way: u64,
+    /// Delay of the query; `None` if it is lost.
+    query_delay: Option<u64>,
+    /// Delay of the answer.
+    answer_delay: u64,
+    /// How long the entry is busy or frozen before it sends.
+    send_delay: u64,
+    /// Delay of the request.
+    delay: u64,
 }
 
 fn attempts() -> impl Strategy<Value = Vec<Attempt>> {
@@ -55,62 +54,62 @@
         prop::option::weighted(0.95, 0..60_u64),
         0..120_u64,
         prop_oneof![4 => 0..5_u64, 1 => 0..400_u64],
-        0..=DELAY_MS,
+        0..=MAX_DELAY_MS,
     );
-    let attempt = |(at, to_agent, back, dawdles, way)| Attempt {
+    let attempt = |(at, query_delay, answer_delay, send_delay, delay)| Attempt {
         at,
-        to_agent,
-        back,
-        dawdles,
-        way,
+        query_delay,
+        answer_delay,
+        send_delay,
+        delay,
     };
     prop::collection::vec(one.prop_map(attempt), 0..900)
 }
 
-fn fates() -> impl Strategy<Value = Vec<(u64, Fate)>> {
-    let fate = prop_oneof![
-        prop_oneof![1..20_u64, 1..800_u64].prop_map(Fate::Killed),
-        (1..2_500_u64).prop_map(Fate::Frozen),
-        (1..1_500_u64).prop_map(Fate::ClockStands),
+fn faults() -> impl Strategy<Value = Vec<(u64, Fault)>> {
+    let fault = prop_oneof![
+        prop_oneof![1..20_u64, 1..800_u64].prop_map(Fault::Killed),
+        (1..2_500_u64).prop_map(Fault::Frozen),
+        (1..1_500_u64).prop_map(Fault::ClockStands),
     ];
-    prop::collection::vec((0..6_000_u64, fate), 0..40)
+    prop::collection::vec((0..6_000_u64, fault), 0..40)
 }
 
-/// When the requests of all entries arrive at the target.
-fn arrivals(terms: GrantTerms, attempts: &[Attempt], fates: &[(u64, Fate)]) -> Vec<u64> {
-    let mut fates = fates.to_vec();
-    fates.sort_by_key(|(at, _)| *at);
+/// Returns when the requests of all entries arrive at the target.
+fn arrivals(terms: BucketParams, attempts: &[Attempt], faults: &[(u64, Fault)]) -> Vec<u64> {
+    let mut faults = faults.to_vec();
+    faults.sort_by_key(|(at, _)| *at);
     let mut asked: Vec<(u64, &Attempt)> = attempts
         .iter()
-        .filter_map(|attempt| Some((attempt.at + attempt.to_agent?, attempt)))
+        .filter_map(|attempt| Some((attempt.at + attempt.query_delay?, attempt)))
         .collect();
     asked.sort_by_key(|(at, _)| *at);
     let mut bucket = TokenBucket::new(Millis(0), terms);
     let (mut down_until, mut frozen_until, mut clock_behind) = (0, 0, 0);
-    let mut next_fate = 0;
+    let mut next_fault = 0;
     let mut arrivals = Vec::new();
     for (at, attempt) in asked {
-        while let Some((fate_at, fate)) = fates.get(next_fate).filter(|(when, _)| *when <= at) {
-            next_fate += 1;
-            match fate {
-                Fate::Killed(time) => {
-                    down_until = fate_at + time;
+        while let Some((fault_at, fault)) = faults.get(next_fault).filter(|(when, _)| *when <= at) {
+            next_fault += 1;
+            match fault {
+                Fault::Killed(time) => {
+                    down_until = fault_at + time;
                     let now = Millis(down_until.saturating_sub(clock_behind));
                     bucket = TokenBucket::new(now, terms);
                 }
-                Fate::Frozen(time) => frozen_until = fate_at + time,
-                Fate::ClockStands(time) => clock_behind += time,
+                Fault::Frozen(time) => frozen_until = fault_at + time,
+                Fault::ClockStands(time) => clock_behind += time,
             }
         }
         if at < down_until {
             continue;
         }
-        // A frozen agent finds the question when it goes on.
+        // A frozen agent handles the query when it resumes.
         let served_at = at.max(frozen_until);
         let is_given = bucket.take(Millis(served_at.saturating_sub(clock_behind)));
-        let sent_at = served_at + attempt.back + attempt.dawdles;
+        let sent_at = served_at + attempt.answer_delay + attempt.send_delay;
         if is_given && sent_at <= attempt.at + GRANT_TTL_MS {
-            arrivals.push(sent_at + attempt.way);
+            arrivals.push(sent_at + attempt.delay);
         }
     }
     arrivals
@@ -122,14 +121,14 @@
     #[test]
     fn whatever_is_lost_late_killed_or_frozen_the_bound_holds(
         attempts in attempts(),
-        fates in fates(),
+        faults in faults(),
         rate in 1.0..40.0_f64,
         overshoot in 1.0..2.0_f64,
         slack in 0.0..10.0_f64,
     ) {
         for bound in [usual(), RateBound::new(rate, overshoot, slack)] {
             let Some(terms) = bound.terms() else { continue };
-            let most = most_in_a_second(&arrivals(terms, &attempts, &fates));
+            let most = most_in_a_second(&arrivals(terms, &attempts, &faults));
             prop_assert!(most as f64 <= terms.most_in_a_second(), "{most} of {terms:?}");
             prop_assert!(most as f64 <= bound.most_in_a_second, "{most} of {bound:?}");
         }
@@ -146,23 +145,23 @@
             None => prop_assert!(bound.most_in_a_second < 1.0),
             Some(terms) => {
                 prop_assert!(terms.most_in_a_second() <= bound.most_in_a_second);
-                prop_assert!(terms.per_s <= rate && terms.per_s > 0.0 && terms.depth >= 1.0);
+                prop_assert!(terms.per_s <= rate && terms.per_s > 0.0 && terms.burst >= 1.0);
             }
         }
         let division = Division::of(bound);
-        let both_sets = 2 * division.owners * division.part;
+        let both_sets = 2 * division.owners * division.quota;
         prop_assert!(f64::from(both_sets) <= bound.most_in_a_second);
     }
 
-    /// Each entry believes that those of its own side are all there are; some
-    /// are restarted, and all press.
+    /// Each entry knows only those of its own side; some are restarted, and all send as
+    /// often as they may.
     #[test]
     fn two_sets_of_entries_that_disagree_keep_a_divided_bound(
         sides in prop::collection::vec(any::<bool>(), 2..60),
         restarts in prop::collection::vec((0..60_usize, 0..4_000_u64), 0..10),
         steps in prop::collection::vec(1..40_u64, 60),
-        ways in prop::collection::vec(0..=DELAY_MS, 61),
-        dawdles in prop::collection::vec(prop_oneof![2 => 0..20_u64, 1 => 0..1_000_u64], 59),
+        delays in prop::collection::vec(0..=MAX_DELAY_MS, 61),
+        send_delays in prop::collection::vec(prop_oneof![2 => 0..20_u64, 1 => 0..1_000_u64], 59),
     ) {
         let bound = usual();
         let division = Division::of(bound);
@@ -176,7 +175,7 @@
                 .filter(same_side)
                 .map(|(_, name)| name.as_str())
                 .collect();
-            let part = division.part_of(name, &seen, "target");
+            let part = division.quota_of(name, &seen, "target");
             let mut lives: Vec<u64> = restarts
                 .iter()
                 .filter(|(who, _)| *who == index)
@@ -193,16 +192,16 @@
                     sends = SendTimes::default();
                 }
                 if part > 0 && Millis(at) >= from && sends.has_room(Millis(at), part) {
-                    sends.note(Millis(at));
-                    // It connects, or stands still, before it sends.
-                    let dawdled = dawdles[step % dawdles.len()];
-                    if dawdled <= GRANT_TTL_MS {
-                        own.push(at + dawdled + ways[step % ways.len()]);
+                    sends.record(Millis(at));
+                    // It connects, or is frozen, before it sends.
+                    let send_delay = send_delays[step % send_delays.len()];
+                    if send_delay <= GRANT_TTL_MS {
+                        own.push(at + send_delay + delays[step % delays.len()]);
                     }
                 }
             }
             let most = most_in_a_second(&own);
-            prop_assert!(most as u32 <= division.part, "{most} from {name}");
+            prop_assert!(most as u32 <= division.quota, "{most} from {name}");
             arrivals.extend(own);
         }
         let most = most_in_a_second(&arrivals);
@@ -213,38 +212,40 @@
 #[test]
 fn the_usual_terms_use_the_whole_rate_and_stay_below_the_bound() {
     let terms = usual().terms().expect("terms");
-    assert_eq!((terms.per_s, terms.depth), (15.0, 3.0));
-    // 15 × 1.25 + 3, of 27.5 that the target bears.
+    assert_eq!((terms.per_s, terms.burst), (15.0, 3.0));
+    // 15 × 1.25 + 3, of 27.5 that the target tolerates.
     assert_eq!(terms.most_in_a_second(), 21.0);
 }
 
-/// Requests that come by chance, `per_s` of them in all.
-fn by_chance(per_s: f64, span_ms: u64) -> Vec<u64> {
+/// Returns arrival times at random, `per_s` per second on average.
+fn at_random(per_s: f64, span_ms: u64) -> Vec<u64> {
     let mut state = 7_u64;
-    let mut draw = || {
+    let mut random = || {
         state = state
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1);
         (state >> 11) as f64 / (1_u64 << 53) as f64
     };
-    (0..span_ms).filter(|_| draw() < per_s / 1_000.0).collect()
+    (0..span_ms)
+        .filter(|_| random() < per_s / 1_000.0)
+        .collect()
 }
 
 #[test]
 fn under_load_most_of_the_rate_is_taken() {
-    // A target gets nothing that was not asked for: of as many requests as the
-    // rate, and of a few more, at least 0.8 of the rate goes there.
+    // A grant that no entry asks for is lost: with as many requests as the rate, and
+    // with some more, at least 0.8 of the rate is used.
     for (per_s, least) in [(15.0, 0.8), (22.0, 0.9), (100.0, 0.97)] {
         let terms = usual().terms().expect("terms");
         let mut bucket = TokenBucket::new(Millis(0), terms);
-        let asked = by_chance(per_s, 60_000);
+        let asked = at_random(per_s, 60_000);
         let given = asked.iter().filter(|at| bucket.take(Millis(**at))).count();
         let part = given as f64 / (15.0 * 60.0);
-        assert!(part >= least, "{part} at {per_s} a second");
+        assert!(part >= least, "{part} at {per_s} per second");
     }
     let division = Division::of(usual());
-    let in_a_span = f64::from(division.owners * division.part);
-    let part = in_a_span * 1_000.0 / SPAN_MS as f64 / 15.0;
+    let in_a_span = f64::from(division.owners * division.quota);
+    let part = in_a_span * 1_000.0 / QUOTA_WINDOW_MS as f64 / 15.0;
     assert!((0.69..0.7).contains(&part), "{part}");
 }
 
@@ -256,7 +257,7 @@
     assert_eq!(bucket.free(Millis(6_000)), 3);
     bucket.empty(Millis(6_000));
     assert!(!bucket.take(Millis(6_000)));
-    // A clock that steps back gives nothing, and takes nothing.
+    // A clock that goes backwards neither adds nor removes tokens.
     assert!(!bucket.take(Millis(1_000)));
     assert!(bucket.take(Millis(6_070)));
     assert!(!bucket.take(Millis(6_070)));
@@ -265,9 +266,9 @@
 #[test]
 fn what_was_sent_before_a_target_turned_cold_counts_toward_the_part() {
     let mut sends = SendTimes::default();
-    (0..100).for_each(|at| sends.note(Millis(at * 10)));
-    assert!(!sends.has_room(Millis(990 + SPAN_MS - 1), 1));
-    assert!(sends.has_room(Millis(990 + SPAN_MS), 1));
+    (0..100).for_each(|at| sends.record(Millis(at * 10)));
+    assert!(!sends.has_room(Millis(990 + QUOTA_WINDOW_MS - 1), 1));
+    assert!(sends.has_room(Millis(990 + QUOTA_WINDOW_MS), 1));
 }
 
 #[test]
@@ -286,11 +287,11 @@
     let names: Vec<String> = (0..45).map(|n| format!("entry-{n}")).collect();
     let entries: Vec<&str> = names.iter().map(String::as_str).collect();
     let division = Division::of(usual());
-    assert_eq!((division.owners, division.part), (13, 1));
+    assert_eq!((division.owners, division.quota), (13, 1));
     let mut parts_of_entries = vec![0; entries.len()];
     for target in 0..45 {
         let target = format!("target-{target}");
-        let part = |entry: &&str| division.part_of(entry, &entries, &target);
+        let part = |entry: &&str| division.quota_of(entry, &entries, &target);
         let parts: Vec<u32> = entries.iter().map(part).collect();
         assert_eq!(parts.iter().sum::<u32>(), 13);
         for (sum, part) in parts_of_entries.iter_mut().zip(&parts) {
@@ -298,8 +299,8 @@
         }
     }
     assert!(parts_of_entries.iter().all(|sum| *sum > 0));
-    // An entry that knows of itself only has no more than its part.
-    assert_eq!(division.part_of("alone", &[], "target"), 1);
+    // An entry that knows only itself gets no more than its quota.
+    assert_eq!(division.quota_of("alone", &[], "target"), 1);
 }
 
 fn news(heard: u64, left_ms: u64) -> ColdEvidence {
@@ -314,18 +315,18 @@
 
 #[test]
 fn a_target_is_cold_as_long_as_anything_says_so() {
-    // What was just heard of for the first time may be cold.
+    // A target that was just discovered may be cold.
     assert_eq!(
         news(400, 0).until(),
         (Millis(4_000), ColdSource::FirstHeard)
     );
-    // Its own later word goes before that.
+    // Its own later heartbeat overrides that assumption.
     assert_eq!(news(1_500, 0).until().0, Millis(0));
     assert_eq!(
         news(2_000, 2_500).until(),
         (Millis(4_500), ColdSource::Heartbeat)
     );
-    // Its data hall was taken back after it last spoke, and before.
+    // Its hall returned to service after its last heartbeat, or before.
     let restored = |at| ColdEvidence {
         restored: Some(Millis(at)),
         ..news(8_000, 0)
--- a/crates/moleroad_dispatch/tests/residency.rs
+++ b/crates/moleroad_dispatch/tests/residency.rs
@@ -96,7 +96,7 @@
         .enumerate()
         .map(|(number, region)| target(number, region))
         .collect();
-    // What keeps a target out for longer goes first.
+    // The longer-lasting reason is counted first.
     for resting in [1, 2, 6] {
         candidates[resting].rests_until = Some(Millis(9));
     }
@@ -150,7 +150,7 @@
     let far = ids(allowed_in(&home), SearchScope::OtherRegions);
     assert!(
         far.iter().all(|id| !near.contains(id)),
-        "none is asked twice"
+        "no agent is queried twice"
     );
 }
 
@@ -182,7 +182,7 @@
     assert_eq!(queue.next(now, std::slice::from_ref(&all)), None);
     assert!(queue.is_among_first(1, WaiterId(3), now));
     assert!(!queue.is_among_first(1, WaiterId(2), now));
-    // One that may go anywhere waits for the places of the home as well.
+    // A request without restrictions also competes for the slots of that region.
     assert_eq!(queue.count_ahead(WaitClass::InTime, &home), 3);
     assert_eq!(queue.count_ahead(WaitClass::InTime, &all), 1);
 }
@@ -210,7 +210,7 @@
     assert!(share.admits(10.0, &only(&["r1", "r2"])));
 }
 
-/// A set of regions: bit `n` stands for the region `n`; without a bit, all.
+/// A set of regions: bit `n` stands for region `n`; no bit means all.
 fn set_of(bits: u8) -> AllowedRegions {
     if bits == 0 {
         return AllowedRegions::all();
@@ -220,56 +220,56 @@
     AllowedRegions::only(chosen.map(|(_, name)| Region::new(*name)))
 }
 
-/// Something that happens between and around the sends of one request.
+/// An event between or during the sends of a request.
 #[derive(Clone, Debug)]
-enum Happening {
-    /// It is sent by what is known.
-    Send { draw: u64 },
-    /// It is sent to the best of those whose agents are asked, after one of
-    /// them changed meanwhile.
-    Ask { draw: u64, evacuated: usize },
-    /// Another configuration comes into force.
-    Configure { route: u8, account: u8 },
-    /// A target fails, and is avoided.
+enum Event {
+    /// The request is sent according to the known state.
+    Send { random: u64 },
+    /// The request is sent to the best of the targets whose agents are queried, after
+    /// one of them was evacuated during the query.
+    Ask { random: u64, evacuated: usize },
+    /// A new configuration takes effect.
+    Configuration { route: u8, account: u8 },
+    /// A target fails and is avoided.
     Fail(usize),
-    /// The directory hears of other targets.
-    Hear(Vec<u8>),
+    /// The directory receives another list of targets.
+    DirectoryUpdate(Vec<u8>),
 }
 
-fn happening() -> impl Strategy<Value = Happening> {
+fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
-        4 => any::<u64>().prop_map(|draw| Happening::Send { draw }),
+        4 => any::<u64>().prop_map(|random| Event::Send { random }),
         4 => (any::<u64>(), 0..12usize)
-            .prop_map(|(draw, evacuated)| Happening::Ask { draw, evacuated }),
+            .prop_map(|(random, evacuated)| Event::Ask { random, evacuated }),
         2 => (0..16u8, 0..16u8)
-            .prop_map(|(route, account)| Happening::Configure { route, account }),
-        1 => (0..12usize).prop_map(Happening::Fail),
-        1 => prop::collection::vec(0..4u8, 0..12).prop_map(Happening::Hear),
+            .prop_map(|(route, account)| Event::Configuration { route, account }),
+        1 => (0..12usize).prop_map(Event::Fail),
+        1 => prop::collection::vec(0..4u8, 0..12).prop_map(Event::DirectoryUpdate),
     ]
 }
 
-fn heard(regions: &[u8]) -> Vec<Candidate> {
+fn directory_list(regions: &[u8]) -> Vec<Candidate> {
     let candidates = regions.iter().enumerate();
     candidates
         .map(|(number, region)| target(number, REGIONS[usize::from(*region)]))
         .collect()
 }
 
-/// Carries out one choice, and returns the target that is sent to.
+/// Performs one choice and returns the target that is sent to.
 fn choose(
     targets: &mut Targets,
     now: Millis,
     needs: Requirements<'_>,
-    how: &Happening,
+    how: &Event,
 ) -> Option<Candidate> {
     match how {
-        Happening::Send { draw } => match targets.choose(now, needs, *draw) {
+        Event::Send { random } => match targets.choose(now, needs, *random) {
             Choice::Send(candidate) => Some(candidate),
             Choice::Full | Choice::Nobody => None,
         },
-        Happening::Ask { draw, evacuated } => {
-            let mut asked = targets.shortlist(now, needs, SearchScope::OwnRegion, *draw);
-            asked.extend(targets.shortlist(now, needs, SearchScope::OtherRegions, *draw));
+        Event::Ask { random, evacuated } => {
+            let mut asked = targets.shortlist(now, needs, SearchScope::OwnRegion, *random);
+            asked.extend(targets.shortlist(now, needs, SearchScope::OtherRegions, *random));
             let mut changed = targets.candidates().to_vec();
             if let Some(candidate) = changed.get_mut(*evacuated) {
                 candidate.evacuated = true;
@@ -289,32 +289,32 @@
         regions in prop::collection::vec(0..4u8, 0..12),
         route in 0..16u8,
         account in 0..16u8,
-        happenings in prop::collection::vec(happening(), 1..24),
+        events in prop::collection::vec(event(), 1..24),
     ) {
         let mut targets = Targets::default();
-        targets.set(heard(&regions));
+        targets.set(directory_list(&regions));
         let (mut route, mut account) = (set_of(route), set_of(account));
         let mut tried: Vec<TargetId> = Vec::new();
-        for (step, happening) in happenings.iter().enumerate() {
+        for (step, event) in events.iter().enumerate() {
             let now = Millis(step as u64 * 10);
-            match happening {
-                Happening::Configure { route: by_route, account: by_account } => {
+            match event {
+                Event::Configuration { route: by_route, account: by_account } => {
                     (route, account) = (set_of(*by_route), set_of(*by_account));
                 }
-                Happening::Fail(number) => {
+                Event::Fail(number) => {
                     let id = TargetId::new(format!("t{number}"));
                     targets.started(now, &id, 0);
                     targets.finished(now, &id, Outcome::Broken);
                 }
-                Happening::Hear(regions) => {
+                Event::DirectoryUpdate(regions) => {
                     tried.clear();
-                    targets.set(heard(regions));
+                    targets.set(directory_list(regions));
                 }
-                Happening::Send { .. } | Happening::Ask { .. } => {
+                Event::Send { .. } | Event::Ask { .. } => {
                     let allowed = route.and(&account);
                     let needs = Requirements { tried: &tried, regions: Some(&allowed), ..Requirements::default() };
                     let could = targets.any_eligible(needs);
-                    let sent = choose(&mut targets, now, needs, happening);
+                    let sent = choose(&mut targets, now, needs, event);
                     if let Some(sent) = sent {
                         prop_assert!(could);
                         prop_assert!(route.contains(&sent.region));
--- a/crates/moleroad_dispatch/tests/rest.rs
+++ b/crates/moleroad_dispatch/tests/rest.rs
@@ -1,5 +1,5 @@
-//! Targets that asked for rest: how the wish is read, whose it is, and that no
-//! choice goes by less.
+//! Targets that asked for a backoff: how `Retry-After` is parsed, to which incarnation
+//! it applies, and that every path of the choice respects it.
 
 mod support;
 
@@ -57,11 +57,11 @@
         ("0.25", Some(250)),
         (".5", Some(500)),
         ("2.", Some(2_000)),
-        // Never shorter than what was asked for.
+        // Never shorter than requested.
         ("0.0001", Some(1)),
-        ("3600", Some(LONGEST_REST_MS)),
-        ("3601", Some(LONGEST_REST_MS)),
-        ("99999999999999999999999999", Some(LONGEST_REST_MS)),
+        ("3600", Some(MAX_BACKOFF_MS)),
+        ("3601", Some(MAX_BACKOFF_MS)),
+        ("99999999999999999999999999", Some(MAX_BACKOFF_MS)),
         ("", None),
         (".", None),
         ("-1", None),
@@ -79,16 +79,13 @@
     for (text, expected) in read {
         assert_eq!(parse_retry_after_ms(text), expected, "{text:?}");
     }
-    assert_eq!(
-        parse_retry_after_ms(&"9".repeat(400)),
-        Some(LONGEST_REST_MS)
-    );
+    assert_eq!(parse_retry_after_ms(&"9".repeat(400)), Some(MAX_BACKOFF_MS));
 }
 
 proptest! {
     #[test]
     fn no_value_gives_more_than_the_longest_rest(text in "\\PC*") {
-        prop_assert!(parse_retry_after_ms(&text).is_none_or(|ms| ms <= LONGEST_REST_MS));
+        prop_assert!(parse_retry_after_ms(&text).is_none_or(|ms| ms <= MAX_BACKOFF_MS));
     }
 }
 
@@ -108,9 +105,9 @@
     let mut rests = Rests::default();
     rests.ask(Millis(100), life("t", 7), ANSWERED, 3_000);
     assert_eq!(rests.until(Millis(200), &life("t", ANSWERED + 1)), None);
-    // Another target at the address, born since.
+    // Another target at the same address, started since.
     assert_eq!(rests.until(Millis(200), &life("u", ANSWERED + 1)), None);
-    // It rests from the address that it answered from alone.
+    // The backoff applies only to the address that answered.
     let elsewhere = Responder {
         address: address(2),
         ..life("t", 7)
@@ -125,7 +122,8 @@
     let until = Some(Millis(3_100));
     assert_eq!(rests.until(Millis(200), &life("t", ANSWERED - 1)), until);
     assert_eq!(rests.until(Millis(200), &life("u", ANSWERED - 1)), until);
-    // And what was asked under the former birth is not cut by a shorter wish.
+    // A backoff recorded under the previous start time is not shortened by a shorter
+    // one.
     rests.ask(Millis(300), life("t", ANSWERED - 1), ANSWERED + 200, 10);
     assert_eq!(rests.until(Millis(400), &life("t", ANSWERED - 1)), until);
 }
@@ -154,7 +152,7 @@
         assert_eq!(listed.is_empty(), rests);
         let looked_at = [candidate(1, None)];
         let best = targets.best_of(Millis(now), at(now), &looked_at);
-        assert_eq!(best.is_none(), rests, "what is known now counts");
+        assert_eq!(best.is_none(), rests, "the current state counts");
         assert_eq!(targets.is_open(&id, at(now)), !rests);
         assert_eq!(targets.any_eligible(at(now)), !rests);
         let free = targets.free_places(Millis(now), &all);
@@ -176,7 +174,7 @@
     );
     assert_eq!(targets(&[Some(50), None]).rested_at(at(10)), None);
     assert_eq!(targets(&[Some(50), Some(40)]).rested_at(at(45)), None);
-    // One that had the request takes it only when it comes again.
+    // A target that got the request before takes it only when the caller retries.
     let tried = [TargetId::new("t2"), TargetId::new("t1")];
     let needs = |count: usize| Requirements {
         tried: &tried[..count],
@@ -191,8 +189,8 @@
 fn a_wish_reaches_a_target_that_is_listed_already() {
     let mut targets = targets(&[None, None]);
     targets.set_backoff(&TargetId::new("t1"), Some(Millis(50)));
-    for draw in 0..20 {
-        let chosen = targets.choose(Millis(10), at(10), draw);
+    for random in 0..20 {
+        let chosen = targets.choose(Millis(10), at(10), random);
         assert!(matches!(chosen, Choice::Send(c) if c.id == TargetId::new("t2")));
     }
     targets.set_backoff(&TargetId::new("t1"), None);
--- a/crates/moleroad_dispatch/tests/support/mod.rs
+++ b/crates/moleroad_dispatch/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A target for tests of the choice; each test changes what it is about.
+//! A target for tests of the choice; each test changes the relevant fields.
 
 #![allow(dead_code)]
 
@@ -6,8 +6,8 @@
 use moleroad_dispatch::prelude::{Candidate, Distance};
 use moleroad_types::prelude::Region;
 
-/// A target in the entry's hall with so many places, all of them the entry's, that
-/// may get requests now.
+/// Returns a target in the entry's hall with this many slots, all of them the entry's,
+/// that may get requests now.
 pub fn target(name: &str, slots: u32) -> Candidate {
     Candidate {
         id: TargetId::new(name),
--- a/crates/moleroad_quarantine/src/fingerprint.rs
+++ b/crates/moleroad_quarantine/src/fingerprint.rs
@@ -1,10 +1,10 @@
-//! What makes two requests the same, whatever their ids.
+//! Identification of repeated requests, whatever their ids.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Bytes of a fingerprint: two of the requests that one group of entries sees
-/// in a day (under 2^28) share one with a chance of less than 2^-70.
+/// Length of a fingerprint in bytes. The chance that two of the requests that a group
+/// of entries sees in a day (under 2^28) collide is less than 2^-70.
 const FINGERPRINT_BYTES: usize = 16;
 
 /// A digest of a request's content.
@@ -24,16 +24,16 @@
     }
 }
 
-/// What a request asks, and for whom. Ids, deadlines and other headers are left
-/// out: they change when a caller repeats it.
+/// The content of a request and the account that sent it. Ids, deadlines and other
+/// headers are excluded, since they change when a caller repeats the request.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestContent<'a> {
-    /// Client account; `None` where the route needs none. It is part of the
-    /// content, so that no account can make another one's requests suspect.
+    /// Client account; `None` where the route needs none. It is part of the content so
+    /// that no account can make the requests of another one suspect.
     pub account: Option<&'a str>,
-    /// Method.
+    /// HTTP method.
     pub method: &'a str,
-    /// Host that the caller named.
+    /// Host named by the caller.
     pub host: &'a str,
     /// Path and query.
     pub target: &'a str,
@@ -42,10 +42,11 @@
 }
 
 impl RequestContent<'_> {
-    /// The fingerprint of this content.
+    /// Computes the fingerprint of this content.
     pub fn fingerprint(&self) -> RequestFingerprint {
         let mut hasher = blake3::Hasher::new();
-        // Each part is preceded by its length, so that parts cannot run together.
+        // Each part is preceded by its length, so that different splits of the same
+        // bytes differ.
         let mut part = |bytes: &[u8]| {
             hasher.update(&(bytes.len() as u64).to_le_bytes());
             hasher.update(bytes);
--- a/crates/moleroad_quarantine/src/lib.rs
+++ b/crates/moleroad_quarantine/src/lib.rs
@@ -1,12 +1,12 @@
-//! Which requests end the targets that run them, and are not sent any more.
+//! Quarantine of requests that terminate the targets that run them.
 //!
-//! Some requests end each target that begins them. Their callers repeat them
-//! under other ids, at other entries. Pure decisions of one daemon:
-//! [`fingerprint`] says what stays of a request when it comes again, [`suspects`]
-//! adds up which targets ended under it, as seen here and told by others, and
-//! says when it is held; [`successes`] speaks for requests that ran to a good
-//! end; [`holds`] is what the control group keeps for when all daemons begin
-//! anew, and [`reviews`] the way back for what was held by mistake.
+//! Some requests terminate every target that starts to run them, and their callers
+//! retry them under other ids, at other entries. These are the decisions of one daemon,
+//! without I/O: [`fingerprint`] identifies a request that is repeated, [`suspects`]
+//! collects which targets terminated while running it, as observed here and reported
+//! by other daemons, and decides when it is held; [`successes`] remembers requests that
+//! completed; [`holds`] is what the control group stores for a restart of all daemons,
+//! and [`reviews`] releases requests that were held by mistake.
 //!
 //! ```
 //! use moleroad_directory::prelude::TargetId;
@@ -36,7 +36,7 @@
 pub mod successes;
 pub mod suspects;
 
-/// The types most users of the crate need.
+/// The types that most users of the crate need.
 pub mod prelude {
     pub use crate::fingerprint::{RequestContent, RequestFingerprint};
     pub use crate::holds::{HoldOrder, Holds, UnixMillis};
--- a/crates/moleroad_quarantine/tests/fingerprint.rs
+++ b/crates/moleroad_quarantine/tests/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What makes two requests the same.
+//! Fingerprints: which parts of a request count.
 
 use moleroad_quarantine::prelude::*;
 use std::collections::HashSet;
--- a/crates/moleroad_quarantine/tests/holds.rs
+++ b/crates/moleroad_quarantine/tests/holds.rs
@@ -1,6 +1,6 @@
-//! What the control group keeps, and which requests a good end speaks for.
+//! Holds stored by the control group, and the record of recently completed requests.
 
-use moleroad_quarantine::holds::MOST_HOLDS;
+use moleroad_quarantine::holds::MAX_HOLDS;
 use moleroad_quarantine::prelude::*;
 use moleroad_types::prelude::Millis;
 use proptest::prelude::*;
@@ -36,20 +36,20 @@
     assert!(!holds.apply(&order(1, NOON + 2_000)));
     assert!(
         holds.apply(&order(1, NOON + 3_600_000)),
-        "another hour is news"
+        "another hour is a change"
     );
 }
 
 #[test]
 fn the_first_to_end_give_way() {
     let mut holds = Holds::default();
-    for number in 0..2 * MOST_HOLDS as u16 {
+    for number in 0..2 * MAX_HOLDS as u16 {
         holds.apply(&order(number, NOON + u64::from(number)));
     }
-    assert_eq!(holds.len(), MOST_HOLDS);
-    let newest = request(2 * MOST_HOLDS as u16 - 1);
+    assert_eq!(holds.len(), MAX_HOLDS);
+    let newest = request(2 * MAX_HOLDS as u16 - 1);
     assert!(holds.left_ms(UnixMillis(NOON), &newest).is_some());
-    assert!(!holds.apply(&order(0, NOON)), "it would be the first to go");
+    assert!(!holds.apply(&order(0, NOON)), "it would be evicted first");
 }
 
 proptest! {
@@ -72,7 +72,7 @@
         one.merge(&second);
         other.merge(&first);
         prop_assert_eq!(&one, &other);
-        prop_assert!(!one.merge(&second), "what is known is no news");
+        prop_assert!(!one.merge(&second), "a known state changes nothing");
     }
 }
 
--- a/crates/moleroad_quarantine/tests/reviews.rs
+++ b/crates/moleroad_quarantine/tests/reviews.rs
@@ -1,6 +1,6 @@
-//! One trial of all copies, and holds that end with a good end.
+//! A single trial for all copies of a request, and holds that end when it completes.
 
-use moleroad_quarantine::holds::MOST_HOLDS;
+use moleroad_quarantine::holds::MAX_HOLDS;
 use moleroad_quarantine::prelude::*;
 use proptest::prelude::*;
 
@@ -41,7 +41,7 @@
     assert!(reviews.is_granted(&first));
     assert!(
         reviews.grant(&trial(2, 8, NOON)),
-        "another request is tried"
+        "another request gets a trial"
     );
     let next = trial(1, 11, NOON + HOUR);
     assert!(reviews.grant(&next));
@@ -69,24 +69,27 @@
     for began in [NOON - 1_000, NOON, NOON + 2_000] {
         assert!(ends(&reviews, began + HOUR));
     }
-    assert!(!ends(&reviews, NOON + 2 * HOUR), "a hold of an hour later");
+    assert!(
+        !ends(&reviews, NOON + 2 * HOUR),
+        "a hold that began an hour later"
+    );
     assert!(!reviews.ends_hold(&request(2), UnixMillis(NOON)));
 }
 
 #[test]
 fn the_one_that_changed_longest_ago_gives_way() {
     let mut reviews = Reviews::default();
-    for number in 0..=MOST_HOLDS as u16 {
+    for number in 0..=MAX_HOLDS as u16 {
         reviews.grant(&trial(number, 1, NOON + u64::from(number)));
     }
     assert_eq!(reviews.trial_at(&request(0)), None);
-    for number in 1..=MOST_HOLDS as u16 {
+    for number in 1..=MAX_HOLDS as u16 {
         assert!(reviews.trial_at(&request(number)).is_some());
     }
 }
 
 proptest! {
-    /// Daemons that hear of the log's states in any order come to its last one.
+    /// Daemons that see the states of the log in any order reach its last state.
     #[test]
     fn states_of_one_log_merge_to_the_last(
         orders in prop::collection::vec((0..4u16, any::<bool>(), 0..3 * HOUR), 1..40),
@@ -108,6 +111,6 @@
         }
         daemon.merge(&log);
         prop_assert_eq!(&daemon, &log);
-        prop_assert!(!daemon.merge(&log), "nothing is news any more");
+        prop_assert!(!daemon.merge(&log), "nothing is new");
     }
 }
--- a/crates/moleroad_quarantine/tests/suspects.rs
+++ b/crates/moleroad_quarantine/tests/suspects.rs
@@ -1,8 +1,9 @@
-//! When a request is held, whichever way the facts come, and what is forgotten.
+//! When a request is held, whatever the order of the reports, and which reports are
+//! dropped.
 
 use moleroad_directory::prelude::TargetId;
 use moleroad_quarantine::prelude::*;
-use moleroad_quarantine::suspects::{MOST_ENDS, MOST_NEWS, MOST_SUSPECTS};
+use moleroad_quarantine::suspects::{MAX_REPORTS_PER_MESSAGE, MAX_SUSPECTS, MAX_TERMINATIONS};
 use moleroad_types::prelude::Millis;
 use proptest::prelude::*;
 
@@ -25,7 +26,7 @@
     }
 }
 
-fn end(request: RequestFingerprint, number: u64) -> TerminationReport {
+fn termination(request: RequestFingerprint, number: u64) -> TerminationReport {
     TerminationReport {
         request,
         life: life(number),
@@ -38,24 +39,24 @@
 fn the_third_end_holds_a_request_and_no_other() {
     let mut suspects = Suspects::default();
     assert_eq!(
-        suspects.take(START, end(request(1), 1)),
+        suspects.take(START, termination(request(1), 1)),
         RecordOutcome::News
     );
     assert_eq!(
-        suspects.take(START, end(request(2), 1)),
+        suspects.take(START, termination(request(2), 1)),
         RecordOutcome::News
     );
     assert_eq!(
-        suspects.take(START, end(request(1), 2)),
+        suspects.take(START, termination(request(1), 2)),
         RecordOutcome::News
     );
     assert_eq!(suspects.hold_left_ms(START, &request(1)), None);
     assert_eq!(
-        suspects.take(START + 10, end(request(1), 3)),
+        suspects.take(START + 10, termination(request(1), 3)),
         RecordOutcome::Held
     );
     assert_eq!(
-        suspects.take(START + 20, end(request(1), 4)),
+        suspects.take(START + 20, termination(request(1), 4)),
         RecordOutcome::News
     );
     let held: Vec<RequestFingerprint> = suspects.held(START + 20).collect();
@@ -67,11 +68,11 @@
 fn an_end_that_several_saw_counts_once() {
     let mut suspects = Suspects::default();
     for _ in 0..3 {
-        suspects.take(START, end(request(1), 1));
-        suspects.take(START, end(request(1), 2));
+        suspects.take(START, termination(request(1), 1));
+        suspects.take(START, termination(request(1), 2));
     }
     assert_eq!(suspects.hold_left_ms(START, &request(1)), None);
-    assert_eq!(suspects.position(), 2, "what is known is no news");
+    assert_eq!(suspects.position(), 2, "a known report changes nothing");
 }
 
 #[test]
@@ -79,11 +80,11 @@
     let mut suspects = Suspects::default();
     for born_ms in 1..=3 {
         let life = TargetIncarnation { born_ms, ..life(1) };
-        let news = TerminationReport {
+        let reports = TerminationReport {
             life,
-            ..end(request(1), 1)
+            ..termination(request(1), 1)
         };
-        suspects.take(START, news);
+        suspects.take(START, reports);
     }
     assert!(suspects.hold_left_ms(START, &request(1)).is_some());
 }
@@ -92,21 +93,21 @@
 fn a_request_that_runs_to_a_good_end_is_excused_everywhere() {
     let (mut here, mut there) = (Suspects::default(), Suspects::default());
     for number in 1..=3 {
-        here.take(START, end(request(1), number));
-        there.take(START, end(request(1), number));
+        here.take(START, termination(request(1), number));
+        there.take(START, termination(request(1), number));
     }
     let told = here.position();
     assert!(here.excuse(&request(1)));
-    assert!(!here.excuse(&request(1)), "it is no news a second time");
-    let (news, _) = here.since(START, told);
-    assert_eq!(news.len(), 3);
-    for end in news {
-        there.take(START, end);
+    assert!(!here.excuse(&request(1)), "it is already excused");
+    let (reports, _) = here.since(START, told);
+    assert_eq!(reports.len(), 3);
+    for termination in reports {
+        there.take(START, termination);
     }
     assert_eq!(there.hold_left_ms(START, &request(1)), None);
-    // Who knows only the older facts brings nothing back.
+    // A daemon that only knows the older reports does not undo the excuse.
     assert_eq!(
-        there.take(START, end(request(1), 1)),
+        there.take(START, termination(request(1), 1)),
         RecordOutcome::Nothing
     );
 }
@@ -115,14 +116,14 @@
 fn ends_are_forgotten_one_by_one_and_one_more_holds_again() {
     let mut suspects = Suspects::default();
     for number in 0..3 {
-        suspects.take(START + number * 1_000, end(request(1), number));
+        suspects.take(START + number * 1_000, termination(request(1), number));
     }
     let later = START + TERMINATION_TTL_MS;
     assert_eq!(suspects.hold_left_ms(later - 1, &request(1)), Some(1));
     assert_eq!(suspects.hold_left_ms(later, &request(1)), None);
     suspects.expire(later);
     assert_eq!(
-        suspects.take(later, end(request(1), 9)),
+        suspects.take(later, termination(request(1), 9)),
         RecordOutcome::Held
     );
     suspects.expire(later + TERMINATION_TTL_MS);
@@ -134,7 +135,7 @@
     let mut suspects = Suspects::default();
     let old = TerminationReport {
         age_ms: TERMINATION_TTL_MS,
-        ..end(request(1), 1)
+        ..termination(request(1), 1)
     };
     assert_eq!(suspects.take(START, old), RecordOutcome::Nothing);
     assert!(suspects.is_empty());
@@ -144,68 +145,68 @@
 fn bounds_hold_and_give_up_the_least_suspect() {
     let mut suspects = Suspects::default();
     for number in 0..20 {
-        suspects.take(START, end(request(1), number));
+        suspects.take(START, termination(request(1), number));
     }
     assert_eq!(
         suspects.terminations_under(START, &request(1)).count(),
-        MOST_ENDS
+        MAX_TERMINATIONS
     );
-    for number in 0..4 * MOST_SUSPECTS as u32 {
-        suspects.take(START + u64::from(number), end(numbered(number), 99));
+    for number in 0..4 * MAX_SUSPECTS as u32 {
+        suspects.take(START + u64::from(number), termination(numbered(number), 99));
     }
-    assert_eq!(suspects.len(), MOST_SUSPECTS);
-    let now = START + 4 * MOST_SUSPECTS as u64;
+    assert_eq!(suspects.len(), MAX_SUSPECTS);
+    let now = START + 4 * MAX_SUSPECTS as u64;
     assert!(suspects.hold_left_ms(now, &request(1)).is_some());
 }
 
 #[test]
 fn what_does_not_fit_a_message_comes_with_the_next() {
     let (mut here, mut there) = (Suspects::default(), Suspects::default());
-    let count = 2 * MOST_NEWS + 10;
+    let count = 2 * MAX_REPORTS_PER_MESSAGE + 10;
     for number in 0..count as u32 {
-        here.take(START, end(numbered(number), 1));
+        here.take(START, termination(numbered(number), 1));
     }
     let (mut position, mut messages) = (0, 0);
     loop {
-        let (news, reached) = here.since(START, position);
-        if news.is_empty() {
+        let (reports, reached) = here.since(START, position);
+        if reports.is_empty() {
             break;
         }
-        assert!(news.len() <= MOST_NEWS);
+        assert!(reports.len() <= MAX_REPORTS_PER_MESSAGE);
         messages += 1;
         position = reached;
-        for end in news {
-            there.take(START, end);
+        for termination in reports {
+            there.take(START, termination);
         }
     }
     assert_eq!((there.len(), messages), (count, 3));
 }
 
-/// What three daemons see and tell each other, in any order.
+/// What three daemons observe and report to each other, in any order.
 #[derive(Clone, Copy, Debug)]
-enum Happening {
+enum Event {
     End { at: usize, request: u8, life: u64 },
     Success { at: usize, request: u8 },
     Tell { from: usize, to: usize },
 }
 
-fn happening() -> impl Strategy<Value = Happening> {
+fn event() -> impl Strategy<Value = Event> {
     let daemon = 0..3_usize;
     prop_oneof![
-        (daemon.clone(), 0..3_u8, 0..6_u64).prop_map(|(at, request, life)| Happening::End {
+        (daemon.clone(), 0..3_u8, 0..6_u64).prop_map(|(at, request, life)| Event::End {
             at,
             request,
             life
         }),
-        (daemon.clone(), 0..3_u8).prop_map(|(at, request)| Happening::Success { at, request }),
-        (daemon.clone(), daemon).prop_map(|(from, to)| Happening::Tell { from, to }),
+        (daemon.clone(), 0..3_u8).prop_map(|(at, request)| Event::Success { at, request }),
+        (daemon.clone(), daemon).prop_map(|(from, to)| Event::Tell { from, to }),
     ]
 }
 
 fn tell(daemons: &mut [Suspects], from: usize, to: usize) {
-    let (news, _) = daemons[from].since(START, 0);
-    for end in news {
-        daemons[to].take(START, end);
+    let (reports, _) = daemons[from].since(START, 0);
+    for termination in reports {
+        daemons[to].take(START, termination);
     }
 }
 
@@ -213,17 +214,17 @@
     #![proptest_config(ProptestConfig::with_cases(2_000))]
 
     #[test]
-    fn all_come_to_the_same_verdict(happenings in prop::collection::vec(happening(), 0..40)) {
+    fn all_come_to_the_same_verdict(events in prop::collection::vec(event(), 0..40)) {
         let mut daemons = vec![Suspects::default(); 3];
-        for happening in happenings {
-            match happening {
-                Happening::End { at, request: number, life } => {
-                    daemons[at].take(START, end(request(number), life));
+        for event in events {
+            match event {
+                Event::End { at, request: number, life } => {
+                    daemons[at].take(START, termination(request(number), life));
                 }
-                Happening::Success { at, request: number } => {
+                Event::Success { at, request: number } => {
                     daemons[at].excuse(&request(number));
                 }
-                Happening::Tell { from, to } => tell(&mut daemons, from, to),
+                Event::Tell { from, to } => tell(&mut daemons, from, to),
             }
         }
         for _ in 0..3 {
@@ -244,7 +245,7 @@
 
 fn hold(suspects: &mut Suspects, at: Millis, number: u8, lives: [u64; 3]) {
     for life in lives {
-        suspects.take(at, end(request(number), life));
+        suspects.take(at, termination(request(number), life));
     }
 }
 
@@ -252,14 +253,14 @@
 fn one_request_alone_at_all_ends_is_in_no_doubt() {
     let mut suspects = Suspects::default();
     hold(&mut suspects, START, 1, [1, 2, 3]);
-    // What was beside it once is no other explanation.
+    // Requests that ran beside it once are no other explanation.
     for life in 1..=3 {
-        suspects.take(START, end(request(10 + life as u8), life));
+        suspects.take(START, termination(request(10 + life as u8), life));
     }
     assert!(!suspects.has_other_explanation(START, &request(1)));
     assert!(
         !suspects.has_other_explanation(START, &request(2)),
-        "nothing is known of it"
+        "no report of it is known"
     );
 }
 
@@ -272,7 +273,7 @@
     assert!(suspects.has_other_explanation(START, &request(1)));
     assert!(suspects.has_other_explanation(START, &request(2)));
     suspects.excuse(&request(2));
-    // Lives 4 to 8 still ended within a second of those.
+    // Incarnations 4 to 8 still terminated within a second of those.
     assert!(suspects.has_other_explanation(START, &request(1)));
     let mut suspects = Suspects::default();
     hold(&mut suspects, START, 1, [1, 2, 3]);
@@ -287,22 +288,22 @@
 fn a_request_whose_target_ended_together_with_others_is_in_doubt() {
     let mut suspects = Suspects::default();
     hold(&mut suspects, START, 1, [1, 2, 3]);
-    suspects.take(START + 900, end(request(2), 4));
+    suspects.take(START + 900, termination(request(2), 4));
     assert!(
         !suspects.has_other_explanation(START + 900, &request(1)),
         "one other target"
     );
-    suspects.take(START + 900, end(request(3), 4));
+    suspects.take(START + 900, termination(request(3), 4));
     assert!(
         !suspects.has_other_explanation(START + 900, &request(1)),
-        "the same one"
+        "the same target"
     );
-    suspects.take(START + 1_100, end(request(2), 5));
+    suspects.take(START + 1_100, termination(request(2), 5));
     assert!(
         !suspects.has_other_explanation(START + 1_100, &request(1)),
         "too late"
     );
-    suspects.take(START + 900, end(request(3), 6));
+    suspects.take(START + 900, termination(request(3), 6));
     assert!(suspects.has_other_explanation(START + 1_100, &request(1)));
 }
 
@@ -310,15 +311,19 @@
 fn a_verdict_is_open_for_a_while_after_the_third_end_and_no_longer_after_a_fourth() {
     let mut suspects = Suspects::default();
     hold(&mut suspects, START, 1, [1, 2, 2]);
-    assert_eq!(suspects.decision_left_ms(START, &request(1)), 0, "two ends");
+    assert_eq!(
+        suspects.decision_left_ms(START, &request(1)),
+        0,
+        "two terminations"
+    );
     let third = TerminationReport {
         age_ms: 100,
-        ..end(request(1), 3)
+        ..termination(request(1), 3)
     };
     suspects.take(START + 300, third);
     let left_ms = suspects.decision_left_ms(START + 300, &request(1));
     assert_eq!(left_ms, HOLD_DECISION_MS - 100);
-    suspects.take(START + 500, end(request(1), 4));
+    suspects.take(START + 500, termination(request(1), 4));
     let left_ms = suspects.decision_left_ms(START + 200 + HOLD_DECISION_MS, &request(1));
     assert_eq!(left_ms, 0);
     assert!(suspects.hold_left_ms(START + 1_000, &request(1)).is_some());
--- a/crates/moleroad_rollout/src/choice.rs
+++ b/crates/moleroad_rollout/src/choice.rs
@@ -1,25 +1,25 @@
-//! Which missing piece an agent fetches next, and from what kind of source.
+//! Choice of the next piece that an agent fetches, and of the kind of source.
 
+use crate::schedule::OriginSchedule;
 use crate::sources::TakeoverTimeouts;
-use crate::spread::{DistributionTrees, FANOUT};
-use crate::turns::OriginSchedule;
+use crate::trees::{DistributionTrees, FANOUT};
 
-/// What an agent knows of one piece that it lacks.
+/// What an agent knows about a piece that it lacks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MissingPiece {
     /// Number of the piece.
     pub piece: u32,
     /// Whether an agent that can be asked has offered it.
     pub offered: bool,
-    /// Time since an agent last said that it draws it from the origin, in
-    /// milliseconds; 0 once one has it, though it cannot be asked just now.
+    /// Time since an agent last announced that it is fetching the piece from the
+    /// origin, in milliseconds; 0 once an agent has it, even if that agent cannot be
+    /// asked at the moment.
     pub announced_ms: Option<u64>,
-    /// Agents of the own region that can be asked and are known to have it.
+    /// Number of agents in the own region that have it and can be asked.
     pub near: usize,
-    /// Agents of other regions that can be asked and are known to have it.
+    /// Number of agents in other regions that have it and can be asked.
     pub far: usize,
-    /// Since when agents of other regions are known to have it, in
-    /// milliseconds.
+    /// How long agents in other regions have been known to have it, in milliseconds.
     pub far_known_ms: u64,
 }
 
@@ -28,184 +28,194 @@
 pub enum SourceKind {
     /// An agent that offered the piece.
     Offer,
-    /// An agent of the own region.
+    /// An agent in the own region.
     OwnRegion,
-    /// An agent of another region.
+    /// An agent in another region.
     OtherRegions,
     /// The origin.
     Origin,
 }
 
-/// What else the choice depends on.
+/// Further inputs of the choice.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FetchConditions {
-    /// How long the agent keeps to the division of work.
+    /// How long the agent waits for the agents that are responsible for a piece.
     pub patience: TakeoverTimeouts,
-    /// Time since the agent began with the version, or since pieces came again
-    /// after a [`STALL_MS`], in milliseconds.
+    /// Time since the agent began with the version, or since pieces resumed after a
+    /// stall of [`STALL_MS`], in milliseconds.
     pub elapsed_ms: u64,
-    /// Which pieces have a turn at the origin.
+    /// Order in which pieces leave the origin.
     pub turns: OriginSchedule,
-    /// Time that the origin takes for one piece, in milliseconds.
+    /// Time that the origin takes to send one piece, in milliseconds.
     pub origin_piece_ms: u64,
-    /// Time that the part of this agent's link that pieces may take needs for
-    /// one piece, in milliseconds.
+    /// Time to receive one piece over the part of this agent's link that is available
+    /// to pieces, in milliseconds.
     pub link_piece_ms: u64,
     /// Whether the origin can be asked.
     pub can_ask_origin: bool,
-    /// Time since the origin last gave this agent nothing, in milliseconds.
+    /// Time since the origin last failed to deliver a piece to this agent, in
+    /// milliseconds.
     pub origin_failed_ms: Option<u64>,
-    /// Whether a piece may be taken from another region without an offer.
+    /// Whether a piece may be fetched from another region without an offer.
     pub may_cross_regions: bool,
-    /// The highest piece that is here or was offered.
+    /// The highest piece that this agent holds or was offered.
     pub newest_seen: Option<u32>,
 }
 
-/// Without a piece for this long a fetch stands still; when pieces come
-/// again, the division of work begins anew, in milliseconds. Far above the time
-/// between two pieces, and about the time in which one copy leaves an origin.
+/// Time without a piece after which a fetch counts as stalled, in milliseconds; when
+/// pieces resume, the schedule starts over. Far longer than the interval between two
+/// pieces, and about the time in which one copy leaves an origin.
 pub const STALL_MS: u64 = 1_000;
-/// Order of the pieces that agents of the region are known to have, behind
-/// all that were offered.
-const NEAR_FROM: u32 = 1_000;
-
-/// How many times their patience agents wait before they take over the way of a
-/// piece into a region from each other: what is under way cannot be seen, and
-/// the links between regions are shared with requests.
-const CROSSING_SLOWNESS: u64 = 2;
-/// Time after a failure of the origin by which each rank comes back later than
-/// the one before it, in milliseconds: above the longest pause of a first agent.
-const RETURN_STEP_MS: u64 = 1_500;
-
-/// Time between two turns at the origin, in percent of the time in which it sends
-/// a piece: at the end of a copy some ten pieces are asked for at once.
-const TURN_PERCENT: u64 = 80;
-/// An origin whose newest piece came at most this late keeps its pace, in
+/// Base of the order of pieces that agents in the region have; it sorts them after all
+/// offered pieces.
+const OWN_REGION_ORDER: u32 = 1_000;
+
+/// Factor on the time for which agents wait before they take over from each other in
+/// bringing a piece into a region: a transfer in progress is not visible, and the links
+/// between regions are shared with requests.
+const CROSSING_TIMEOUT_FACTOR: u64 = 2;
+/// Delay per rank before an agent retries an origin that failed, in milliseconds:
+/// longer than the maximum backoff of the agent with the first rank.
+const ORIGIN_RETRY_STEP_MS: u64 = 1_500;
+
+/// Interval between two pieces in the schedule, in percent of the time in which the
+/// origin sends a piece: at the end of a copy about ten pieces are requested at the
+/// same time.
+const SCHEDULE_PERCENT: u64 = 80;
+/// Maximum lateness of the newest piece at which the origin counts as on schedule, in
 /// milliseconds.
-const PACE_KEPT_MS: u64 = 1_000;
-/// Agents that take over from a silent one: those that it tells of its draws.
-const TAKING_OVER: u32 = FANOUT as u32;
-/// Further lateness that is borne of a piece that an agent has or is drawing, in
-/// milliseconds: its link is busy with other pieces, and a second draw would take
-/// the time of the origin's link from pieces that nobody has. In the end the piece
-/// is drawn again: who said that it has it may have restarted without it.
-const HELD_BORNE_MS: u64 = 1_500;
-/// Lateness that is borne of every agent while the origin keeps its pace, in
-/// milliseconds: the spread of the times at which agents begin.
-const TAKE_OVER_FIRST_MS: u64 = 150;
-/// ... and for each rank, in milliseconds: the way of an announcement, and a
-/// piece on the origin's link beside a few others. A piece of an agent that is
-/// silent so leaves the origin 0.3 s after its turn and not a second after it.
-const TAKE_OVER_STEP_MS: u64 = 150;
-
-/// Where to take the piece from, and its order: the lowest is fetched first.
+const ON_SCHEDULE_MS: u64 = 1_000;
+/// Number of agents that may take over from a silent one: those to which it announces
+/// its fetches.
+const TAKEOVER_RANKS: u32 = FANOUT as u32;
+/// Additional lateness tolerated for a piece that an agent has or is fetching, in
+/// milliseconds: that agent's link is busy with other pieces, and a second fetch would
+/// take time on the origin's link from pieces that no agent has. The piece is still
+/// fetched again eventually, since the agent that announced it may have restarted
+/// without it.
+const IN_FLIGHT_TOLERANCE_MS: u64 = 1_500;
+/// Lateness tolerated for every agent while the origin is on schedule, in milliseconds:
+/// the trees of the agents' start times.
+const TAKEOVER_BASE_MS: u64 = 150;
+/// Additional lateness tolerated per rank, in milliseconds: the delay of an
+/// announcement, plus one piece on the origin's link next to a few others. The piece of
+/// a silent agent thus leaves the origin 0.3 s after its scheduled time instead of one
+/// second.
+const TAKEOVER_STEP_MS: u64 = 150;
+
+/// Returns the source from which to fetch the piece, and its order: the lowest is
+/// fetched first.
 ///
-/// First what others wait for: a piece for which the agent stands high in
-/// the tree. Then what few agents of the region have.
+/// Pieces that other agents wait for come first, that is, those for which this agent is
+/// near the root of the distribution tree; then those that few agents of the region
+/// have.
 pub fn choose_source(
     missing: MissingPiece,
-    spread: &DistributionTrees,
+    trees: &DistributionTrees,
     conditions: &FetchConditions,
 ) -> Option<(SourceKind, u32)> {
     let piece = missing.piece;
-    let rank = spread.rank(piece).unwrap_or(0) as u32;
-    let rank = rank.min(NEAR_FROM - 1);
+    let rank = trees.rank(piece).unwrap_or(0) as u32;
+    let rank = rank.min(OWN_REGION_ORDER - 1);
     if missing.offered {
         return Some((SourceKind::Offer, rank));
     }
     if missing.near > 0 {
-        return Some((SourceKind::OwnRegion, NEAR_FROM + missing.near as u32));
+        return Some((
+            SourceKind::OwnRegion,
+            OWN_REGION_ORDER + missing.near as u32,
+        ));
     }
-    let known_ms = missing.far_known_ms / CROSSING_SLOWNESS;
-    let crosses = spread.permission(piece, conditions.patience, known_ms);
-    if crosses.across_regions && missing.far > 0 && conditions.may_cross_regions {
+    let known_ms = missing.far_known_ms / CROSSING_TIMEOUT_FACTOR;
+    let region_sources = trees.permission(piece, conditions.patience, known_ms);
+    if region_sources.across_regions && missing.far > 0 && conditions.may_cross_regions {
         return Some((SourceKind::OtherRegions, 1));
     }
     let overdue_ms = conditions.overdue_ms(piece);
-    let unborne_ms = match missing.is_on_its_way() {
-        true => overdue_ms.saturating_sub(HELD_BORNE_MS),
+    let excess_ms = match missing.is_in_flight() {
+        true => overdue_ms.saturating_sub(IN_FLIGHT_TOLERANCE_MS),
         false => overdue_ms,
     };
-    let draws = spread.permission(piece, conditions.patience, unborne_ms);
-    let is_let_in = conditions.may_return(rank);
-    let takes_over = spread.is_in_origin_region() && conditions.is_passed_over(&missing, rank);
-    let is_due = conditions.has_turn(piece) && is_let_in;
-    if (draws.from_origin || takes_over) && is_due && conditions.can_ask_origin {
+    let origin_sources = trees.permission(piece, conditions.patience, excess_ms);
+    let may_retry = conditions.may_retry_origin(rank);
+    let takes_over = trees.is_in_origin_region() && conditions.should_take_over(&missing, rank);
+    let is_due = conditions.scheduled_time_reached(piece) && may_retry;
+    if (origin_sources.from_origin || takes_over) && is_due && conditions.can_ask_origin {
         return Some((SourceKind::Origin, rank));
     }
     None
 }
 
 impl MissingPiece {
-    /// Whether an agent has the piece, or said a moment ago that it draws it.
-    fn is_on_its_way(&self) -> bool {
-        self.far > 0 || self.announced_ms.is_some_and(|ms| ms < ANNOUNCED_FOR_MS)
+    /// Whether an agent has the piece or recently announced that it is fetching it.
+    fn is_in_flight(&self) -> bool {
+        self.far > 0 || self.announced_ms.is_some_and(|ms| ms < ANNOUNCEMENT_TTL_MS)
     }
 }
 
-/// Time between two announcements of a draw that is under way, in milliseconds.
+/// Interval between two announcements of a fetch in progress, in milliseconds.
 pub const ANNOUNCE_EVERY_MS: u64 = 150;
-/// Time for which an announcement stands, in milliseconds: an agent that ends or
-/// freezes leaves out the next two.
-const ANNOUNCED_FOR_MS: u64 = 400;
+/// How long an announcement is valid, in milliseconds: an agent that stops or freezes
+/// misses the next two.
+const ANNOUNCEMENT_TTL_MS: u64 = 400;
 
-/// Whether the agent says that it draws the piece from the origin: it is the one
-/// that does, the turn of the piece has come, and the origin did not refuse it the
-/// last time. It may still be busy with the piece before it.
+/// Returns whether the agent announces that it is fetching the piece from the origin:
+/// it is the first by rank, the scheduled time of the piece has come, and the origin's
+/// last answer was not a failure. The agent may still be busy with the previous piece.
 pub fn should_announce(
     piece: u32,
-    spread: &DistributionTrees,
+    trees: &DistributionTrees,
     conditions: &FetchConditions,
 ) -> bool {
-    let is_first = spread.is_in_origin_region() && spread.rank(piece) == Some(0);
-    is_first && conditions.has_turn(piece) && conditions.origin_failed_ms.is_none()
+    let is_first = trees.is_in_origin_region() && trees.rank(piece) == Some(0);
+    is_first && conditions.scheduled_time_reached(piece) && conditions.origin_failed_ms.is_none()
 }
 
 impl FetchConditions {
-    /// Whether the turn of the piece has come. The origin gives one piece after
-    /// the other: it shares its link among all that is asked for, and the first
-    /// piece would come with the last.
-    fn has_turn(&self, piece: u32) -> bool {
-        self.elapsed_ms >= self.turn_ms(piece)
+    /// Whether the scheduled time of the piece has come. The origin sends pieces one
+    /// after the other: it shares its link among all requested pieces, so that if all
+    /// were requested at once the first would arrive together with the last.
+    fn scheduled_time_reached(&self, piece: u32) -> bool {
+        self.elapsed_ms >= self.scheduled_ms(piece)
     }
 
-    /// Whether an agent of this rank asks an origin again that gave nothing: the
-    /// first agents of the pieces come back first, so that one copy leaves an
-    /// origin that was away and not one for each agent.
-    fn may_return(&self, rank: u32) -> bool {
-        let pause_ms = u64::from(rank) * RETURN_STEP_MS;
+    /// Whether an agent of this rank may retry an origin that failed. The agents with
+    /// the first rank for a piece retry first, so that one copy leaves a recovered
+    /// origin rather than one per agent.
+    fn may_retry_origin(&self, rank: u32) -> bool {
+        let pause_ms = u64::from(rank) * ORIGIN_RETRY_STEP_MS;
         self.origin_failed_ms
             .is_none_or(|failed_ms| failed_ms >= pause_ms)
     }
 
-    /// Whether the origin keeps its pace and the agent that was to draw the piece
-    /// has not said that it does, or has ended since: the next by rank draws it
-    /// while the origin still answers.
-    fn is_passed_over(&self, missing: &MissingPiece, rank: u32) -> bool {
+    /// Whether the next agent by rank should fetch the piece while the origin still
+    /// answers: the origin is on schedule, but the responsible agent has not announced
+    /// the fetch or has stopped since.
+    fn should_take_over(&self, missing: &MissingPiece, rank: u32) -> bool {
         let Some(newest) = self.newest_seen else {
             return false;
         };
-        let keeps_pace = self.late_ms(newest) <= PACE_KEPT_MS;
-        let borne_ms = TAKE_OVER_FIRST_MS + u64::from(rank) * TAKE_OVER_STEP_MS;
-        let may_take = (1..=TAKING_OVER).contains(&rank) && !missing.is_on_its_way();
-        may_take && keeps_pace && self.late_ms(missing.piece) >= borne_ms
+        let is_on_schedule = self.late_ms(newest) <= ON_SCHEDULE_MS;
+        let tolerated_ms = TAKEOVER_BASE_MS + u64::from(rank) * TAKEOVER_STEP_MS;
+        let may_take = (1..=TAKEOVER_RANKS).contains(&rank) && !missing.is_in_flight();
+        may_take && is_on_schedule && self.late_ms(missing.piece) >= tolerated_ms
     }
 
-    /// When the turn of the piece comes: a little faster than the origin sends, so
-    /// that it is never idle because one agent is late.
-    fn turn_ms(&self, piece: u32) -> u64 {
-        let bare_ms = u64::from(self.turns.number(piece)) * self.origin_piece_ms;
-        bare_ms * TURN_PERCENT / 100
+    /// Scheduled time of the piece: slightly faster than the origin sends, so that one
+    /// late agent does not leave it idle.
+    fn scheduled_ms(&self, piece: u32) -> u64 {
+        let unscaled_ms = u64::from(self.turns.number(piece)) * self.origin_piece_ms;
+        unscaled_ms * SCHEDULE_PERCENT / 100
     }
 
-    /// Time since the turn of the piece at the origin, in milliseconds.
+    /// Time since the piece's scheduled time at the origin, in milliseconds.
     fn late_ms(&self, piece: u32) -> u64 {
-        self.elapsed_ms.saturating_sub(self.turn_ms(piece))
+        self.elapsed_ms.saturating_sub(self.scheduled_ms(piece))
     }
 
-    /// How long the piece is overdue: the time in which the pieces up to it
-    /// leave the origin and pass over a link, and the patience with the agent
-    /// that was to bring it, are over. In milliseconds.
+    /// How long the piece is overdue, in milliseconds: the time since the pieces up to
+    /// it should have left the origin and crossed a link and the timeout of the
+    /// responsible agent has passed.
     fn overdue_ms(&self, piece: u32) -> u64 {
         let piece_ms = self.origin_piece_ms.max(self.link_piece_ms);
         let due_ms = u64::from(self.turns.number(piece) + 1) * piece_ms + self.patience.origin_ms;
--- a/crates/moleroad_rollout/src/fallback.rs
+++ b/crates/moleroad_rollout/src/fallback.rs
@@ -1,8 +1,8 @@
-//! Which version to bring when the newest one does not come.
+//! Choice of the version to fetch when the newest one does not arrive.
 
-/// The newest of the versions `named` that is above `held`, below `newest`,
-/// and all of whose `pieces` some agent has: it needs no origin. An engine
-/// that takes it goes on serving though the newest version is stuck.
+/// Returns the newest of the `named` versions above `held` and below `newest` whose
+/// `pieces` are all held by agents, so that it needs no origin. An engine that loads it
+/// can continue to serve while the newest version is stuck.
 pub fn fallback(
     named: impl IntoIterator<Item = u64>,
     held: u64,
--- a/crates/moleroad_rollout/src/lib.rs
+++ b/crates/moleroad_rollout/src/lib.rs
@@ -1,13 +1,16 @@
-//! Bringing a version of a model to all engines of a service: which agent
-//! takes which piece from where, and when each engine changes over.
+//! Distribution of a model version to all engines of a service: which agent fetches
+//! which piece from where, and when each engine switches over.
 //!
-//! Agents decide alike from the same knowledge, without a planner: one copy
-//! leaves the origin, one copy enters each region, and within a region
-//! agents give pieces to each other. [`sources`] says who takes part, [`spread`]
-//! how each piece spreads, [`choice`] which piece an agent fetches next,
-//! [`turns`] in which order pieces leave the origin, [`pause`] for how long a source that refuses is left alone, [`fallback`]
-//! what to bring when the newest version does not come, [`waves`] when an
-//! engine may change its weights, [`bound`] until when it may serve older ones.
+//! Agents reach the same decisions from the same data, without a coordinator: one copy
+//! leaves the origin, one copy enters each region, and within a region agents pass
+//! pieces on to each other. [`sources`] defines the members and their timeouts,
+//! [`trees`] the tree along which each piece is distributed, [`choice`] which piece an
+//! agent fetches next, [`schedule`] the order in which pieces leave the origin,
+//! [`backoff`] how long a failing source is left alone, [`fallback`] which version to
+//! fetch when the newest one does not arrive, [`superseded`] when a fetch is abandoned
+//! for a newer version, [`arrival`] when the weights are expected, [`waves`] when an
+//! engine may switch its weights, and [`old_weights`] until when it may serve older
+//! ones.
 //!
 //! ```
 //! use moleroad_rollout::prelude::*;
@@ -18,32 +21,32 @@
 #![warn(missing_docs)]
 
 pub mod arrival;
-pub mod bound;
+pub mod backoff;
 pub mod choice;
 pub mod fallback;
-pub mod overtaking;
-pub mod pause;
+pub mod old_weights;
+pub mod schedule;
 pub mod sources;
-pub mod spread;
-pub mod turns;
+pub mod superseded;
+pub mod trees;
 pub mod waves;
 
-/// The types most users of the crate need.
+/// The types that most users of the crate need.
 pub mod prelude {
     pub use crate::arrival::Arrival;
-    pub use crate::bound::OldWeights;
+    pub use crate::backoff::Backoff;
     pub use crate::choice::{
         ANNOUNCE_EVERY_MS, FetchConditions, MissingPiece, STALL_MS, SourceKind, choose_source,
         should_announce,
     };
     pub use crate::fallback::fallback;
-    pub use crate::overtaking::SupersededFetch;
-    pub use crate::pause::Backoff;
+    pub use crate::old_weights::OldWeights;
+    pub use crate::schedule::OriginSchedule;
     pub use crate::sources::{
         AllowedSources, DigestQueryResult, Member, TakeoverTimeouts, copy_ms,
         may_ask_origin_for_digests,
     };
-    pub use crate::spread::DistributionTrees;
-    pub use crate::turns::OriginSchedule;
+    pub use crate::superseded::SupersededFetch;
+    pub use crate::trees::DistributionTrees;
     pub use crate::waves::WavePlan;
 }
--- a/crates/moleroad_rollout/src/spread.rs
+++ b/crates/moleroad_rollout/src/trees.rs
@@ -1,13 +1,13 @@
-//! How a piece spreads from the origin over all agents: along a tree that all
-//! agents work out alike from the members they know.
+//! Distribution of each piece from the origin to all agents along a tree that every
+//! agent computes from the known members.
 //!
-//! Each piece has a tree of its own, so that the work of giving pieces on is
-//! shared by all. Its root is an agent of the origin's region, the only one
-//! that takes the piece from the origin. Regions hang below each other by their
-//! first agents, so that a piece enters each region once; within a region
-//! the agents form a binary tree. An agent that gets a piece tells its children
-//! at once ([`DistributionTrees::children`]): news by way of the directory takes longer
-//! than a piece takes on a link.
+//! Each piece has its own tree, so that the work of forwarding is shared by all agents.
+//! The root is an agent in the origin's region, the only one that fetches the piece
+//! from the origin. The regions form a tree of their first agents, so that a piece
+//! enters each region once; within a region the agents form a binary tree. An agent
+//! that receives a piece offers it to its children immediately
+//! ([`DistributionTrees::children`]): an update through the directory takes longer than
+//! a piece takes on a link.
 
 use crate::sources::{AllowedSources, Member, TakeoverTimeouts};
 use moleroad_types::prelude::InstanceId;
@@ -16,17 +16,17 @@
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
 
-/// Children of an agent in its region's tree, and of a region among regions.
-/// With two, the last of 1,000 agents is ten steps from the root and no agent
-/// gives a piece more than four times.
+/// Number of children of an agent in its region's tree, and of a region in the tree of
+/// regions. With two, the last of 1,000 agents is ten steps from the root, and no agent
+/// sends a piece more than four times.
 pub const FANOUT: usize = 2;
 
-/// Where an agent stands in the tree of one piece.
+/// Position of an agent in the tree of one piece.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Place {
+struct Position {
     /// Rank in its region; 0 brings the piece into the region.
     rank: usize,
-    /// Whether its region is the one that draws from the origin.
+    /// Whether its region is the one that fetches from the origin.
     is_first_region: bool,
 }
 
@@ -35,16 +35,16 @@
 pub struct DistributionTrees {
     own: InstanceId,
     is_in_origin_region: bool,
-    /// Agents by region, without the first one.
+    /// Agents by region, without the first region.
     others: BTreeMap<String, Vec<InstanceId>>,
     first: Vec<InstanceId>,
-    /// Places of the own agent, by piece.
-    places: Vec<Option<Place>>,
+    /// Positions of the own agent, by piece.
+    positions: Vec<Option<Position>>,
 }
 
 impl DistributionTrees {
-    /// The trees of `pieces` pieces over `members`; `origin_region` is where
-    /// the origin stands, if that is known.
+    /// Computes the trees of `pieces` pieces over `members`; `origin_region` is the
+    /// region of the origin, if known.
     pub fn new(
         own: &InstanceId,
         members: &[Member],
@@ -61,74 +61,74 @@
             .map(str::to_string)
             .or_else(|| others.keys().next().cloned());
         let first = first_region.and_then(|region| others.remove(&region));
-        let mut spread = Self {
+        let mut trees = Self {
             own: own.clone(),
             is_in_origin_region: false,
             others,
             first: first.unwrap_or_default(),
-            places: Vec::new(),
+            positions: Vec::new(),
         };
-        let region = spread.region_of(own);
-        let is_first_region = spread.first.contains(own);
-        let place = |piece| {
-            Some(Place {
+        let region = trees.region_of(own);
+        let is_first_region = trees.first.contains(own);
+        let position = |piece| {
+            Some(Position {
                 rank: rank_in(region?, own, piece),
                 is_first_region,
             })
         };
-        let places = (0..pieces).map(place).collect();
-        spread.places = places;
-        spread.is_in_origin_region = is_first_region;
-        spread
+        let positions = (0..pieces).map(position).collect();
+        trees.positions = positions;
+        trees.is_in_origin_region = is_first_region;
+        trees
     }
 
-    /// Whether the own agent is in the region that draws from the origin.
+    /// Returns whether the own agent is in the region that fetches from the origin.
     pub fn is_in_origin_region(&self) -> bool {
         self.is_in_origin_region
     }
 
-    /// Rank of the own agent in its region for `piece`, from 0 for the one that
-    /// brings the piece into the region. An agent that is no member has none.
+    /// Returns the rank of the own agent in its region for `piece`; 0 is the agent that
+    /// brings the piece into the region. An agent that is not a member has no rank.
     pub fn rank(&self, piece: u32) -> Option<usize> {
-        Some(self.place(piece)?.rank)
+        Some(self.position(piece)?.rank)
     }
 
-    /// What the own agent may do for `piece` after `idle_ms` in which nothing
-    /// came or the piece was overdue.
+    /// Returns the sources that the own agent may use for `piece` after `idle_ms` in
+    /// which nothing arrived or the piece was overdue.
     ///
-    /// In each region one agent, the first by rank, takes a piece from outside
-    /// at once; the second may after one time of patience, the third after two,
-    /// and so on: agents that all lose patience at the same time would take the
-    /// connections of the origin from each other.
+    /// In each region the first agent by rank may fetch a piece from outside
+    /// immediately; the second may after one timeout, the third after two, and so on:
+    /// if all agents timed out at the same moment, they would compete for the origin's
+    /// connections.
     pub fn permission(
         &self,
         piece: u32,
         patience: TakeoverTimeouts,
         idle_ms: u64,
     ) -> AllowedSources {
-        let Some(place) = self.place(piece) else {
+        let Some(position) = self.position(piece) else {
             return AllowedSources {
                 across_regions: true,
                 from_origin: true,
             };
         };
-        let turn_ms = place.rank as u64 * patience.across_regions_ms;
-        if place.is_first_region {
+        let own_turn_ms = position.rank as u64 * patience.across_regions_ms;
+        if position.is_first_region {
             AllowedSources {
-                across_regions: idle_ms >= turn_ms + patience.across_regions_ms,
-                from_origin: idle_ms >= turn_ms,
+                across_regions: idle_ms >= own_turn_ms + patience.across_regions_ms,
+                from_origin: idle_ms >= own_turn_ms,
             }
         } else {
             AllowedSources {
-                across_regions: idle_ms >= turn_ms,
-                from_origin: idle_ms >= turn_ms + patience.origin_ms,
+                across_regions: idle_ms >= own_turn_ms,
+                from_origin: idle_ms >= own_turn_ms + patience.origin_ms,
             }
         }
     }
 
-    /// Whom the agent `of` tells when it has `piece`: the first agents of
-    /// the regions below its own, if it is the first of its own, then its
-    /// children within its region.
+    /// Returns the agents to which `of` offers `piece` once it has it: the first agents
+    /// of the child regions, if it is the first of its own region, then its children
+    /// within its region.
     pub fn children(&self, of: &InstanceId, piece: u32) -> Vec<&InstanceId> {
         let Some(region) = self.region_of(of) else {
             return Vec::new();
@@ -141,36 +141,37 @@
         if rank == 0 {
             let regions = self.regions(piece);
             let at = regions.iter().position(|agents| agents.contains(of));
-            let below = at.map(|at| below(&regions, at)).unwrap_or_default();
+            let child_regions = at.map(|at| children_at(&regions, at)).unwrap_or_default();
             children.extend(
-                below
+                child_regions
                     .into_iter()
                     .filter_map(|agents| first_of(agents, piece)),
             );
         }
-        children.extend(below(&ranks, rank));
+        children.extend(children_at(&ranks, rank));
         children
     }
 
-    /// Whom the own agent tells of `piece` when it draws it from the origin: its
-    /// children, and in place of the agents before it, which were silent, theirs.
+    /// Returns the agents to which the own agent announces that it fetches `piece` from
+    /// the origin: its children, and those of the silent agents that precede it by
+    /// rank.
     pub fn told_of_draw(&self, piece: u32) -> Vec<&InstanceId> {
         let own_rank = self.rank(piece).unwrap_or(0);
         let Some(region) = self.region_of(&self.own) else {
             return Vec::new();
         };
-        let mut told = self.children(&self.own, piece);
+        let mut recipients = self.children(&self.own, piece);
         for agent in ranked(region, piece).into_iter().take(own_rank.min(FANOUT)) {
-            told.extend(self.children(agent, piece));
+            recipients.extend(self.children(agent, piece));
         }
-        told.retain(|agent| **agent != self.own);
-        told.sort();
-        told.dedup();
-        told
+        recipients.retain(|agent| **agent != self.own);
+        recipients.sort();
+        recipients.dedup();
+        recipients
     }
 
-    fn place(&self, piece: u32) -> Option<Place> {
-        self.places.get(piece as usize).copied().flatten()
+    fn position(&self, piece: u32) -> Option<Position> {
+        self.positions.get(piece as usize).copied().flatten()
     }
 
     fn region_of(&self, agent: &InstanceId) -> Option<&Vec<InstanceId>> {
@@ -178,8 +179,8 @@
         regions.find(|agents| agents.contains(agent))
     }
 
-    /// All regions, the one that draws from the origin first and the others in
-    /// an order that differs between pieces.
+    /// All regions: first the one that fetches from the origin, then the others in an
+    /// order that differs between pieces.
     fn regions(&self, piece: u32) -> Vec<&Vec<InstanceId>> {
         let mut others: Vec<(&String, &Vec<InstanceId>)> = self.others.iter().collect();
         others.sort_by_key(|(region, _)| Reverse(weight(region, piece)));
@@ -188,9 +189,9 @@
     }
 }
 
-/// The children of the one at `at`, where each has [`FANOUT`] of those behind
-/// it.
-fn below<T: Copy>(ordered: &[T], at: usize) -> Vec<T> {
+/// The children of the element at `at`, where each element has [`FANOUT`] of the
+/// following ones.
+fn children_at<T: Copy>(ordered: &[T], at: usize) -> Vec<T> {
     let from = at * FANOUT + 1;
     let children = ordered.iter().skip(from).take(FANOUT);
     children.copied().collect()
@@ -204,15 +205,16 @@
 
 fn rank_in(agents: &[InstanceId], own: &InstanceId, piece: u32) -> usize {
     let own_weight = weight(own, piece);
-    let goes_before = |agent: &&InstanceId| weight(*agent, piece) > own_weight;
-    agents.iter().filter(goes_before).count()
+    let ranks_before = |agent: &&InstanceId| weight(*agent, piece) > own_weight;
+    agents.iter().filter(ranks_before).count()
 }
 
 fn first_of(agents: &[InstanceId], piece: u32) -> Option<&InstanceId> {
     agents.iter().max_by_key(|agent| weight(*agent, piece))
 }
 
-/// Highest random weight, so that a change of agents moves few pieces.
+/// Weight for rendezvous hashing (highest random weight), so that a change of agents
+/// moves few pieces.
 fn weight<T: Hash + ?Sized>(subject: &T, piece: u32) -> u64 {
     let mut hasher = DefaultHasher::new();
     subject.hash(&mut hasher);
--- a/crates/moleroad_rollout/tests/arrival.rs
+++ b/crates/moleroad_rollout/tests/arrival.rs
@@ -1,4 +1,4 @@
-//! When weights that are on their way are expected to be served.
+//! Expected time until weights that are being fetched are served.
 
 use moleroad_rollout::prelude::Arrival;
 use moleroad_types::prelude::Millis;
@@ -16,7 +16,7 @@
     let whole = arrival.expected_ms(Millis(2_000), PIECE_MS).unwrap();
     assert!(at_first > half_way && half_way > whole);
     assert!(at_first - half_way >= 1_000);
-    // The engine still has to take it.
+    // The engine still has to load them.
     assert!(whole > 0);
 }
 
