--- a/crates/moleroad_rollout/tests/model/mod.rs
+++ b/crates/moleroad_rollout/tests/model/mod.rs
@@ -1,6 +1,6 @@
-//! A swarm of agents in virtual time: links that send one piece after the
-//! other, an origin with few connections, news that is late, agents that are
-//! dead. The decisions are those of the crate.
+//! Simulation of a swarm of agents in virtual time: links that send one piece after the
+//! other, an origin with few connections, delayed updates, and dead agents. The
+//! decisions are those of the crate.
 
 use moleroad_rollout::prelude::*;
 use moleroad_types::prelude::{InstanceId, Millis};
@@ -9,95 +9,96 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet};
 
-/// What is played.
+/// Parameters of a simulation.
 #[derive(Clone)]
 pub struct Setup {
-    /// Agents in all regions together.
+    /// Number of agents in all regions together.
     pub agents: usize,
-    /// Regions; the origin stands in the first.
+    /// Number of regions; the origin is in the first.
     pub regions: usize,
-    /// Pieces of the version.
+    /// Number of pieces of the version.
     pub pieces: u32,
     /// Time of a piece over an agent's link, in milliseconds.
     pub link_piece_ms: u64,
     /// Time of a piece over the origin's link, in milliseconds.
     pub origin_piece_ms: u64,
-    /// Connections that the origin takes.
+    /// Maximum number of connections to the origin.
     pub origin_connections: usize,
     /// When the origin does not answer, in milliseconds.
     pub origin_off: std::ops::Range<u64>,
-    /// Agents that are dead though the others count on them.
+    /// Number of agents that are dead although the others consider them members.
     pub dead: usize,
     /// When they die, in milliseconds; until then they take part.
     pub dies_ms: u64,
-    /// Seed of the draws.
+    /// Seed of the random numbers.
     pub seed: u64,
 }
 
-/// How it went.
+/// Result of a simulation.
 #[derive(Debug)]
 pub struct Outcome {
     /// When the last agent had all pieces, in milliseconds.
     pub done_ms: u64,
-    /// Pieces that left the origin.
+    /// Number of pieces that left the origin.
     pub draws: usize,
-    /// Pieces that entered each region from another one, the most of any.
+    /// Number of pieces that entered a region from another one; the maximum over all
+    /// regions.
     pub crossings: usize,
 }
 
-/// Time that a message takes, in milliseconds.
-const WAY_MS: u64 = 3;
-/// How late agents learn what others of their region have by the directory.
-const NEWS_MS: u64 = 400;
-/// Pieces that an agent fetches at once.
-const AT_ONCE: usize = 4;
-/// Pieces that wait for an agent's link before it refuses.
-const GIVEN_AT_ONCE: u64 = 2;
-/// Holders of a piece that are counted.
+/// Network delay of a message, in milliseconds.
+const MESSAGE_DELAY_MS: u64 = 3;
+/// Delay of directory updates within a region, in milliseconds.
+const DIRECTORY_DELAY_MS: u64 = 400;
+/// Number of pieces that an agent fetches concurrently.
+const CONCURRENT_FETCHES: usize = 4;
+/// Number of pieces that may queue for an agent's link before it refuses.
+const MAX_QUEUED_SENDS: u64 = 2;
+/// Maximum number of holders of a piece that are counted.
 const MOST_COUNTED: usize = 8;
-/// Time between looks of an agent, in milliseconds.
-const LOOK_MS: u64 = 40;
-/// Time for which a source that refused is left alone, in milliseconds.
-const REST_MS: u64 = 40;
-/// When nothing has been found to go on, in milliseconds.
-const END_MS: u64 = 60_000;
+/// Interval at which an agent looks for pieces to fetch, in milliseconds.
+const POLL_MS: u64 = 40;
+/// How long a source that refused is left alone, in milliseconds.
+const BACKOFF_MS: u64 = 40;
+/// When a simulation that does not complete ends, in milliseconds.
+const TIME_LIMIT_MS: u64 = 60_000;
 
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum From {
+enum Source {
     Agent(usize),
     Origin,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Look(usize),
+    Poll(usize),
     Offer {
         to: usize,
         from: usize,
         piece: u32,
     },
-    /// An agent says that it draws a piece.
+    /// An agent announces that it is fetching a piece.
     Announced {
         to: usize,
         piece: u32,
     },
-    /// A child did not answer: its children are told.
-    PassedOver {
+    /// A child did not answer: its children get the offer instead.
+    Skipped {
         agent: usize,
         from: usize,
         piece: u32,
     },
     Arrived {
         to: usize,
-        from: From,
+        from: Source,
         piece: u32,
     },
     Failed {
         to: usize,
-        from: From,
+        from: Source,
         piece: u32,
     },
-    News {
+    DirectoryUpdate {
         agent: usize,
         piece: u32,
     },
@@ -108,16 +109,16 @@
     region: usize,
     is_dead: bool,
     began_ms: u64,
-    /// Since when the pieces have their turns at the origin.
-    divided_ms: u64,
+    /// Start of the schedule of pieces at the origin.
+    schedule_start_ms: u64,
     turns: OriginSchedule,
     progress_ms: u64,
     held: HashSet<u32>,
     offers: HashMap<u32, Vec<usize>>,
     announced: HashMap<u32, u64>,
     announced_own: HashMap<u32, u64>,
-    under_way: HashMap<u32, From>,
-    rests: HashMap<(u32, From), u64>,
+    in_flight: HashMap<u32, Source>,
+    backoffs: HashMap<(u32, Source), u64>,
     origin_pause: Backoff,
     origin_failed_ms: Option<u64>,
     far_known_ms: HashMap<u32, u64>,
@@ -127,13 +128,13 @@
 }
 
 impl Agent {
-    fn note_progress(&mut self, now: u64, pieces: u32, from: From) {
+    fn note_progress(&mut self, now: u64, pieces: u32, from: Source) {
         if now - self.progress_ms >= STALL_MS {
-            self.divided_ms = now;
+            self.schedule_start_ms = now;
             let missing: Vec<u32> = (0..pieces).filter(|p| !self.held.contains(p)).collect();
             self.turns = OriginSchedule::of_missing(&missing);
             self.origin_pause.end();
-            if from == From::Origin {
+            if from == Source::Origin {
                 self.origin_failed_ms = None;
             }
         }
@@ -141,12 +142,12 @@
     }
 }
 
-/// A swarm that is being played.
+/// A running simulation.
 pub struct Swarm {
     setup: Setup,
     agents: Vec<Agent>,
     by_name: HashMap<InstanceId, usize>,
-    /// Holders that agents of a region know by the directory.
+    /// Holders of each piece that the agents of a region know from the directory.
     known: Vec<HashMap<u32, Vec<usize>>>,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     sequence: u64,
@@ -158,7 +159,7 @@
 }
 
 impl Swarm {
-    /// All agents without a piece, beginning within 200 ms.
+    /// Creates agents without any piece, which start within 200 ms.
     pub fn new(setup: Setup) -> Self {
         let mut random = SmallRng::seed_from_u64(setup.seed);
         let region_of = |index: usize| index % setup.regions;
@@ -179,16 +180,16 @@
                 region: region_of(index),
                 is_dead: dead.contains(&index),
                 began_ms: random.random_range(0..200),
-                // All know when the version was named.
-                divided_ms: 0,
+                // All know when the version was announced.
+                schedule_start_ms: 0,
                 turns: OriginSchedule::all(),
                 progress_ms: 0,
                 held: HashSet::new(),
                 offers: HashMap::new(),
                 announced: HashMap::new(),
                 announced_own: HashMap::new(),
-                under_way: HashMap::new(),
-                rests: HashMap::new(),
+                in_flight: HashMap::new(),
+                backoffs: HashMap::new(),
                 origin_pause: Backoff::with_max(400),
                 origin_failed_ms: None,
                 far_known_ms: HashMap::new(),
@@ -222,7 +223,7 @@
         for index in 0..swarm.agents.len() {
             let began_ms = swarm.agents[index].began_ms;
             if !swarm.is_dead(index, began_ms) {
-                swarm.at(began_ms, Event::Look(index));
+                swarm.at(began_ms, Event::Poll(index));
             }
         }
         swarm
@@ -237,12 +238,12 @@
         self.events.push(Reverse((time, self.sequence, event)));
     }
 
-    /// Plays until all that live have all pieces, or for a minute.
-    pub fn play(mut self) -> Outcome {
+    /// Runs until all live agents have all pieces, or for a minute.
+    pub fn run(mut self) -> Outcome {
         let mut done_ms = 0;
         while let Some(Reverse((now, _, event))) = self.events.pop() {
-            if now > END_MS {
-                done_ms = END_MS;
+            if now > TIME_LIMIT_MS {
+                done_ms = TIME_LIMIT_MS;
                 break;
             }
             if let Event::Arrived { .. } = event {
@@ -259,21 +260,21 @@
 
     fn take(&mut self, now: u64, event: Event) {
         match event {
-            Event::Look(agent)
+            Event::Poll(agent)
             | Event::Arrived { to: agent, .. }
             | Event::Failed { to: agent, .. }
                 if self.is_dead(agent, now) => {}
-            Event::Look(agent) => {
+            Event::Poll(agent) => {
                 self.fetch(now, agent);
                 if self.agents[agent].held.len() < self.setup.pieces as usize {
-                    self.at(now + LOOK_MS, Event::Look(agent));
+                    self.at(now + POLL_MS, Event::Poll(agent));
                 }
             }
             Event::Offer { to, from, piece } => {
                 if self.is_dead(to, now) {
                     self.at(
                         now + 300,
-                        Event::PassedOver {
+                        Event::Skipped {
                             agent: to,
                             from,
                             piece,
@@ -287,52 +288,55 @@
             Event::Announced { to, piece } => {
                 self.agents[to].announced.insert(piece, now);
             }
-            Event::PassedOver { agent, from, piece } => self.offer(now, agent, from, piece),
+            Event::Skipped { agent, from, piece } => self.offer(now, agent, from, piece),
             Event::Arrived { to, from, piece } => {
                 self.end(to, from, piece);
                 let pieces = self.setup.pieces;
                 self.agents[to].note_progress(now, pieces, from);
                 self.agents[to].held.insert(piece);
-                if from == From::Origin {
-                    self.offer_in_place_of_silent(now, to, piece);
+                if from == Source::Origin {
+                    self.offer_to_announced(now, to, piece);
                 }
                 self.offer(now, to, to, piece);
-                self.at(now + NEWS_MS, Event::News { agent: to, piece });
+                self.at(
+                    now + DIRECTORY_DELAY_MS,
+                    Event::DirectoryUpdate { agent: to, piece },
+                );
                 self.fetch(now, to);
             }
             Event::Failed { to, from, piece } => {
                 self.end(to, from, piece);
                 let agent = &mut self.agents[to];
-                agent.rests.insert((piece, from), now + REST_MS);
+                agent.backoffs.insert((piece, from), now + BACKOFF_MS);
                 match from {
-                    From::Origin => {
+                    Source::Origin => {
                         agent.origin_failed_ms = Some(now);
                         let draw = self.random.random();
                         agent.origin_pause.note(Millis(now), false, draw);
                     }
-                    From::Agent(source) if self.is_dead(source, now) => {
+                    Source::Agent(source) if self.is_dead(source, now) => {
                         let offers = self.agents[to].offers.values_mut();
                         offers.for_each(|offers| offers.retain(|offer| *offer != source));
                     }
-                    From::Agent(_) => {}
+                    Source::Agent(_) => {}
                 }
                 self.fetch(now, to);
             }
-            Event::News { agent, piece } => {
+            Event::DirectoryUpdate { agent, piece } => {
                 let region = self.agents[agent].region;
                 self.known[region].entry(piece).or_default().push(agent);
             }
         }
     }
 
-    fn end(&mut self, to: usize, from: From, piece: u32) {
-        self.agents[to].under_way.remove(&piece);
-        if from == From::Origin {
+    fn end(&mut self, to: usize, from: Source, piece: u32) {
+        self.agents[to].in_flight.remove(&piece);
+        if from == Source::Origin {
             self.origin_used = self.origin_used.saturating_sub(1);
         }
     }
 
-    /// The children of `of` are told that `from` has the piece.
+    /// Offers the piece that `from` holds to the children of `of`.
     fn offer(&mut self, now: u64, of: usize, from: usize, piece: u32) {
         let children = self.agents[from]
             .spread
@@ -340,16 +344,16 @@
         let children: Vec<usize> = children.iter().map(|name| self.by_name[*name]).collect();
         for to in children {
             if !self.agents[to].held.contains(&piece) {
-                self.at(now + WAY_MS, Event::Offer { to, from, piece });
+                self.at(now + MESSAGE_DELAY_MS, Event::Offer { to, from, piece });
             }
         }
     }
 
-    /// Who was told of a draw is told that the piece is here.
-    fn offer_in_place_of_silent(&mut self, now: u64, from: usize, piece: u32) {
+    /// Offers the piece to the agents to which its fetch was announced.
+    fn offer_to_announced(&mut self, now: u64, from: usize, piece: u32) {
         for to in self.told_of_draw(from, piece) {
             if !self.is_dead(to, now) {
-                self.at(now + WAY_MS, Event::Offer { to, from, piece });
+                self.at(now + MESSAGE_DELAY_MS, Event::Offer { to, from, piece });
             }
         }
     }
@@ -364,41 +368,42 @@
         }
         own.insert(piece, now);
         for to in self.told_of_draw(index, piece) {
-            self.at(now + WAY_MS, Event::Announced { to, piece });
+            self.at(now + MESSAGE_DELAY_MS, Event::Announced { to, piece });
         }
     }
 
     fn told_of_draw(&self, index: usize, piece: u32) -> Vec<usize> {
-        let told = self.agents[index].spread.told_of_draw(piece);
-        told.iter().map(|name| self.by_name[*name]).collect()
+        let recipients = self.agents[index].spread.told_of_draw(piece);
+        recipients.iter().map(|name| self.by_name[*name]).collect()
     }
 
     fn fetch(&mut self, now: u64, index: usize) {
         while now >= self.agents[index].began_ms {
-            let under_way = self.agents[index].under_way.values();
-            let from_agents = under_way.filter(|from| **from != From::Origin).count();
-            let Some((piece, from)) = self.next(now, index, from_agents < AT_ONCE) else {
+            let in_flight = self.agents[index].in_flight.values();
+            let from_agents = in_flight.filter(|from| **from != Source::Origin).count();
+            let Some((piece, from)) = self.next(now, index, from_agents < CONCURRENT_FETCHES)
+            else {
                 return;
             };
-            self.agents[index].under_way.insert(piece, from);
-            if from == From::Origin {
+            self.agents[index].in_flight.insert(piece, from);
+            if from == Source::Origin {
                 self.announce(now, index, piece);
             }
             self.ask(now, index, from, piece);
         }
     }
 
-    fn next(&mut self, now: u64, index: usize, takes_more: bool) -> Option<(u32, From)> {
+    fn next(&mut self, now: u64, index: usize, takes_more: bool) -> Option<(u32, Source)> {
         let mut far_known_ms = std::mem::take(&mut self.agents[index].far_known_ms);
         let agent = &self.agents[index];
         let conditions = FetchConditions {
             patience: TakeoverTimeouts::for_pieces(self.setup.link_piece_ms * 1_000 / 8, 1.0),
-            elapsed_ms: now - agent.divided_ms,
+            elapsed_ms: now - agent.schedule_start_ms,
             turns: agent.turns.clone(),
             origin_piece_ms: self.setup.origin_piece_ms,
             link_piece_ms: self.setup.link_piece_ms,
             can_ask_origin: !agent.origin_pause.is_active(Millis(now))
-                && !agent.under_way.values().any(|from| *from == From::Origin),
+                && !agent.in_flight.values().any(|from| *from == Source::Origin),
             may_cross_regions: true,
             newest_seen: agent.held.iter().chain(agent.offers.keys()).max().copied(),
             origin_failed_ms: agent.origin_failed_ms.map(|failed| now - failed),
@@ -410,23 +415,23 @@
         due.into_iter()
             .for_each(|piece| self.announce(now, index, piece));
         let agent = &self.agents[index];
-        let rests = |piece, from| {
+        let is_backed_off = |piece, from| {
             agent
-                .rests
+                .backoffs
                 .get(&(piece, from))
                 .is_some_and(|until| now < *until)
         };
         let mut best: Option<(u32, SourceKind, u32)> = None;
         for at in 0..self.setup.pieces {
             let piece = (at + index as u32) % self.setup.pieces;
-            if agent.held.contains(&piece) || agent.under_way.contains_key(&piece) {
+            if agent.held.contains(&piece) || agent.in_flight.contains_key(&piece) {
                 continue;
             }
             let holders = |regions: &mut dyn Iterator<Item = usize>| {
                 let known = regions.flat_map(|region| self.known[region].get(&piece));
                 let sound = known
                     .flatten()
-                    .filter(|holder| !rests(piece, From::Agent(**holder)));
+                    .filter(|holder| !is_backed_off(piece, Source::Agent(**holder)));
                 sound.take(MOST_COUNTED).count()
             };
             let far = holders(&mut (0..self.setup.regions).filter(|r| *r != agent.region));
@@ -435,7 +440,7 @@
                 piece,
                 offered: offers
                     .into_iter()
-                    .any(|offer| !rests(piece, From::Agent(*offer))),
+                    .any(|offer| !is_backed_off(piece, Source::Agent(*offer))),
                 announced_ms: if agent.offers.get(&piece).is_some_and(|o| !o.is_empty()) {
                     Some(0)
                 } else {
@@ -459,14 +464,14 @@
         self.agents[index].far_known_ms = far_known_ms;
         let (piece, kind, _) = best?;
         let agent = &self.agents[index];
-        let rests = |piece, from| {
+        let is_backed_off = |piece, from| {
             agent
-                .rests
+                .backoffs
                 .get(&(piece, from))
                 .is_some_and(|until| now < *until)
         };
         let offers = agent.offers.get(&piece).cloned().unwrap_or_default();
-        let is_sound = |holder: &usize| !rests(piece, From::Agent(*holder));
+        let is_sound = |holder: &usize| !is_backed_off(piece, Source::Agent(*holder));
         let holders = |is_near: bool| {
             let regions = (0..self.setup.regions).filter(|r| (*r == agent.region) == is_near);
             let known = regions.flat_map(|region| self.known[region].get(&piece));
@@ -477,23 +482,23 @@
                 .collect::<Vec<_>>()
         };
         let holders = match kind {
-            SourceKind::Origin => return Some((piece, From::Origin)),
+            SourceKind::Origin => return Some((piece, Source::Origin)),
             SourceKind::Offer => offers.into_iter().find(is_sound).into_iter().collect(),
             SourceKind::OwnRegion => holders(true),
             SourceKind::OtherRegions => holders(false),
         };
         let draw = self.random.random_range(0..holders.len());
-        Some((piece, From::Agent(holders[draw])))
+        Some((piece, Source::Agent(holders[draw])))
     }
 
-    fn ask(&mut self, now: u64, to: usize, from: From, piece: u32) {
-        let asked = now + WAY_MS;
+    fn ask(&mut self, now: u64, to: usize, from: Source, piece: u32) {
+        let asked = now + MESSAGE_DELAY_MS;
         match from {
-            From::Origin => {
+            Source::Origin => {
                 let is_off = self.setup.origin_off.contains(&asked);
                 self.origin_used += 1;
                 if is_off || self.origin_used > self.setup.origin_connections {
-                    self.at(asked + WAY_MS, Event::Failed { to, from, piece });
+                    self.at(asked + MESSAGE_DELAY_MS, Event::Failed { to, from, piece });
                     return;
                 }
                 let sent = self.origin_free_ms.max(asked) + self.setup.origin_piece_ms;
@@ -506,14 +511,14 @@
                 self.draws += 1;
                 self.deliver(sent, to, from, piece);
             }
-            From::Agent(source) if self.is_dead(source, now) => {
-                self.at(asked + WAY_MS, Event::Failed { to, from, piece });
+            Source::Agent(source) if self.is_dead(source, now) => {
+                self.at(asked + MESSAGE_DELAY_MS, Event::Failed { to, from, piece });
             }
-            From::Agent(source) => {
+            Source::Agent(source) => {
                 let piece_ms = self.setup.link_piece_ms;
                 let start = self.agents[source].up_free_ms.max(asked);
-                if start >= asked + piece_ms * GIVEN_AT_ONCE {
-                    self.at(asked + WAY_MS, Event::Failed { to, from, piece });
+                if start >= asked + piece_ms * MAX_QUEUED_SENDS {
+                    self.at(asked + MESSAGE_DELAY_MS, Event::Failed { to, from, piece });
                     return;
                 }
                 self.agents[source].up_free_ms = start + piece_ms;
@@ -525,10 +530,13 @@
         }
     }
 
-    fn deliver(&mut self, sent: u64, to: usize, from: From, piece: u32) {
+    fn deliver(&mut self, sent: u64, to: usize, from: Source, piece: u32) {
         let free = self.agents[to].down_free_ms + self.setup.link_piece_ms;
         let arrives = sent.max(free);
         self.agents[to].down_free_ms = arrives;
-        self.at(arrives + WAY_MS, Event::Arrived { to, from, piece });
+        self.at(
+            arrives + MESSAGE_DELAY_MS,
+            Event::Arrived { to, from, piece },
+        );
     }
 }
--- a/crates/moleroad_rollout/tests/overtaking.rs
+++ b/crates/moleroad_rollout/tests/overtaking.rs
@@ -1,9 +1,9 @@
-//! When a version is given up for a newer one.
+//! When the fetch of a version is abandoned for a newer one.
 
 use moleroad_rollout::prelude::*;
 
-/// 96 pieces, a tenth of them not out, a newer version named, the origin away
-/// for two seconds.
+/// 96 pieces, a tenth of them unreleased, a newer version announced, and the origin
+/// down for two seconds.
 fn stuck() -> SupersededFetch {
     SupersededFetch {
         pieces: 96,
@@ -31,7 +31,7 @@
         ..stuck()
     };
     assert!(comes.should_abandon());
-    // Not while its own pieces still come.
+    // Not while its own pieces still arrive.
     let progress = SupersededFetch {
         idle_ms: 100,
         ..comes
--- a/crates/moleroad_rollout/tests/rollout.rs
+++ b/crates/moleroad_rollout/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! Who takes which piece from where, and when engines change over.
+//! Which agent fetches which piece from where, and when engines switch over.
 
 use moleroad_rollout::prelude::*;
 use moleroad_types::prelude::{InstanceId, Millis};
@@ -12,10 +12,10 @@
     (0..12).map(member).collect()
 }
 
-/// Pieces of the version in these tests.
+/// Number of pieces of the version in these tests.
 const PIECES: u32 = 400;
 
-/// What `own` may do for a piece.
+/// Returns the sources that `own` may use for a piece.
 fn permission(
     own: &InstanceId,
     members: &[Member],
@@ -61,7 +61,7 @@
         assert!(from_origin <= 3 * (turn as usize + 1), "turn {turn}");
         assert!(across <= 3 * (turn as usize + 1), "turn {turn}");
     }
-    // Nobody waits for ever.
+    // No agent waits forever.
     assert_eq!(granted(4 * turn_ms + patience.origin_ms, 7), (12, 12));
 }
 
@@ -94,29 +94,26 @@
     for piece in 0..50 {
         let may =
             |agent: &InstanceId| permission(agent, &members, Some("south"), piece, patience, 0);
-        let mut told: Vec<InstanceId> = members
+        let mut reached: Vec<InstanceId> = members
             .iter()
             .map(|member| member.instance.clone())
             .filter(|agent| may(agent).from_origin)
             .collect();
-        assert_eq!(told.len(), 1, "one root of piece {piece}");
+        assert_eq!(reached.len(), 1, "one root of piece {piece}");
         let mut at = 0;
-        while let Some(agent) = told.get(at).cloned() {
+        while let Some(agent) = reached.get(at).cloned() {
             let children = spread.children(&agent, piece);
-            assert!(children.len() <= 4, "{agent} tells {children:?}");
+            assert!(children.len() <= 4, "{agent} offers to {children:?}");
             for child in children {
-                assert!(
-                    !told.contains(child),
-                    "{child} is told twice of piece {piece}"
-                );
+                assert!(!reached.contains(child), "{child} gets piece {piece} twice");
                 if region_of(child) != region_of(&agent) {
                     assert!(may(child).across_regions);
                 }
-                told.push(child.clone());
+                reached.push(child.clone());
             }
             at += 1;
         }
-        assert_eq!(told.len(), members.len(), "piece {piece}");
+        assert_eq!(reached.len(), members.len(), "piece {piece}");
     }
 }
 
@@ -159,15 +156,15 @@
         asked.collect::<Vec<u32>>()
     };
     assert_eq!(asks(0), [0]);
-    // Ten pieces have left the origin; two more are asked for, so that it is not
-    // idle when one agent is late.
+    // Ten pieces have left the origin; two more are requested, so that one late agent
+    // does not leave it idle.
     let mut early = asks(26 * 10);
     early.sort();
     assert_eq!(early, (0..=12).collect::<Vec<u32>>());
     let mut middle = asks(26 * 30);
     middle.sort();
     assert_eq!(middle, (0..=37).collect::<Vec<u32>>());
-    // Whoever was to bring a piece may be dead: others take over in the end.
+    // The agents responsible for a piece may be dead: others eventually take over.
     let late = asks(26 * 48 + 42 * 48 + 10 * patience.origin_ms);
     assert!((0..48).all(|piece| late.iter().filter(|asked| **asked == piece).count() > 1));
 }
@@ -237,7 +234,7 @@
             .count();
         assert!(
             (50..160).contains(&draws),
-            "{} draws {draws}",
+            "{} fetches {draws}",
             member.instance
         );
     }
@@ -254,8 +251,8 @@
     let names: Vec<InstanceId> = (0..20)
         .map(|index| InstanceId::new(format!("agent-{index}")))
         .collect();
-    // No agent knows how far the others are; their pieces are there at times
-    // that differ by up to 0.4 s.
+    // No agent knows the progress of the others; their pieces arrive at times that
+    // differ by up to 0.4 s.
     for staged_ms in [2_000_u64, 2_900, 3_900] {
         let begins_at = |own: &InstanceId, index: usize| {
             let staged_ms = staged_ms + index as u64 * 20;
@@ -277,7 +274,7 @@
             begun.count()
         };
         let most = (0..8_000).map(changing).max().unwrap();
-        // Those who are staged later may overlap with the next wave.
+        // Engines that are staged later may overlap with the next wave.
         assert!(
             most <= plan.at_once(staged_ms) * 3 / 2,
             "{staged_ms}: {most}"
@@ -285,7 +282,7 @@
     }
     assert_eq!(plan.at_once(2_000), 7);
     assert_eq!(plan.at_once(3_900), 10);
-    // Without time for waves all begin at once.
+    // Without time for waves, all begin at the same time.
     let own = &names[3];
     assert!(plan.may_begin(own, names.iter().skip(4), 5_800, 5_700));
 }
@@ -322,7 +319,7 @@
         }
         pause.note(now, false, 399);
     }
-    // Half of it, and what the draw adds.
+    // Half of the maximum, plus the random part.
     assert!(pause.is_active(now + 590) && !pause.is_active(now + 600));
     pause.end();
     assert!(!pause.is_active(now));
@@ -330,7 +327,7 @@
 
 #[test]
 fn what_a_dead_agent_should_bring_is_overdue_after_one_copy_and_taken_over() {
-    // 48 pieces of 48 KiB over 15 Mbit/s: 1.26 s bare.
+    // 48 pieces of 48 KiB over 15 Mbit/s: at least 1.26 s.
     let copy = copy_ms(48 * 49_152, 15_000);
     assert!((1_259..1_600).contains(&copy), "{copy}");
     let member = |index: usize| Member {
@@ -361,7 +358,8 @@
 
 #[test]
 fn an_older_version_that_agents_have_whole_stands_in_for_one_that_does_not_come() {
-    // Version 2 is whole among the agents, 3 lacks a piece, 4 is named last.
+    // The agents have all of version 2, all but one piece of 3, and 4 is announced
+    // last.
     let has = |version: u64, piece: u32| version <= 2 || (version == 3 && piece != 7);
     let stands_in = |held, newest| fallback([1, 2, 3, 4], held, newest, 48, has);
     assert_eq!(stands_in(1, 4), Some(2));
@@ -391,7 +389,7 @@
     let old = OldWeights::new(Millis(10_000), 8_000);
     assert!(old.last_start < Millis(18_000));
     assert!(old.may_send_to_silent(Millis(13_000)));
-    // A request that left at 15.9 s began at 18.07 s.
+    // A request sent at 15.9 s started at 18.07 s.
     assert!(!old.may_send_to_silent(Millis(15_900)));
     assert!(!old.may_send_to_silent(Millis(14_000)));
 }
@@ -429,21 +427,22 @@
     assert!(draws(&first, None, conditions(260, None)));
     assert!(should_announce(piece, &first, &conditions(260, None)));
     assert!(!should_announce(piece, &second, &conditions(260, None)));
-    // Whom the origin refused says nothing that others would wait for.
+    // An agent that the origin refused announces nothing, since others would wait for
+    // it.
     let refused = FetchConditions {
         origin_failed_ms: Some(100),
         ..conditions(260, None)
     };
     assert!(!should_announce(piece, &first, &refused));
-    // Nothing was heard of the first, and the origin has gone on.
+    // The first agent announced nothing, and the origin has moved on.
     assert!(!draws(&second, None, conditions(400, Some(9))));
     assert!(draws(&second, None, conditions(700, Some(12))));
-    // The first said a moment ago that it draws the piece, or long ago.
+    // The first agent announced its fetch recently, or long ago.
     assert!(!draws(&second, Some(100), conditions(700, Some(12))));
     assert!(draws(&second, Some(500), conditions(700, Some(12))));
-    // The origin does not keep its pace: that is not the first one's fault.
+    // The origin is behind schedule, which is not the first agent's fault.
     assert!(!draws(&second, None, conditions(1_300, Some(3))));
     assert!(!draws(&second, None, conditions(700, None)));
-    // Who was passed over is told of the draw.
+    // An agent that was skipped gets an announcement of the fetch.
     assert!(!second.told_of_draw(piece).is_empty());
 }
--- a/crates/moleroad_rollout/tests/swarm.rs
+++ b/crates/moleroad_rollout/tests/swarm.rs
@@ -1,5 +1,5 @@
-//! The swarm of agents in virtual time: bounds that hold from a few agents to
-//! a thousand, with an origin that fails and agents that are dead.
+//! The simulated swarm of agents: bounds that hold for a few to a thousand agents, with
+//! a failing origin and dead agents.
 
 mod model;
 
@@ -21,14 +21,14 @@
     }
 }
 
-fn play(setup: Setup) -> Outcome {
-    let outcome = Swarm::new(setup.clone()).play();
+fn run(setup: Setup) -> Outcome {
+    let outcome = Swarm::new(setup.clone()).run();
     println!("{} agents, seed {}: {outcome:?}", setup.agents, setup.seed);
     outcome
 }
 
 /// Time in which the slower of a link and the origin sends one copy.
-fn bare_ms(setup: &Setup) -> u64 {
+fn min_copy_ms(setup: &Setup) -> u64 {
     u64::from(setup.pieces) * setup.link_piece_ms.max(setup.origin_piece_ms)
 }
 
@@ -37,10 +37,10 @@
     for (agents, seeds) in [(20, 4), (76, 4), (204, 3), (1_000, 1)] {
         for seed in 0..seeds {
             let setup = setup(agents, seed);
-            let outcome = play(setup.clone());
-            // Each doubling of the agents adds a step to the trees.
+            let outcome = run(setup.clone());
+            // Each doubling of the number of agents adds a level to the trees.
             let steps = u64::from(agents.ilog2());
-            let bound_ms = bare_ms(&setup) * 3 / 2 + 120 * steps;
+            let bound_ms = min_copy_ms(&setup) * 3 / 2 + 120 * steps;
             assert!(outcome.done_ms <= bound_ms, "{agents} agents: {outcome:?}");
             // About one copy leaves the origin and enters each other region.
             assert!(outcome.draws <= 54, "{agents} agents: {outcome:?}");
@@ -51,15 +51,15 @@
 
 #[test]
 fn an_origin_that_ends_after_one_copy_has_sent_enough() {
-    // It answers for twice the time of a bare copy, then never again.
+    // It answers for twice the time of a copy, then never again.
     for agents in [20, 204] {
         let setup = Setup {
             origin_off: 2 * 48 * 26..u64::MAX,
             ..setup(agents, 3)
         };
-        let outcome = play(setup.clone());
+        let outcome = run(setup.clone());
         assert!(
-            outcome.done_ms <= bare_ms(&setup) * 2,
+            outcome.done_ms <= min_copy_ms(&setup) * 2,
             "{agents} agents: {outcome:?}"
         );
     }
@@ -72,8 +72,8 @@
             origin_off: 300..6_300,
             ..setup(agents, 4)
         };
-        let outcome = play(setup.clone());
-        let bound_ms = 6_300 + bare_ms(&setup) * 5 / 2;
+        let outcome = run(setup.clone());
+        let bound_ms = 6_300 + min_copy_ms(&setup) * 5 / 2;
         assert!(outcome.done_ms <= bound_ms, "{agents} agents: {outcome:?}");
         assert!(outcome.draws <= 48 * 3, "{agents} agents: {outcome:?}");
     }
@@ -86,9 +86,9 @@
             dead: agents / 4,
             ..setup(agents, 5)
         };
-        let outcome = play(setup.clone());
+        let outcome = run(setup.clone());
         assert!(
-            outcome.done_ms <= bare_ms(&setup) * 3,
+            outcome.done_ms <= min_copy_ms(&setup) * 3,
             "{agents} agents: {outcome:?}"
         );
         assert!(outcome.draws <= 48 * 3, "{agents} agents: {outcome:?}");
@@ -97,7 +97,7 @@
 
 #[test]
 fn a_copy_is_out_though_agents_are_silent_and_the_origin_ends_soon() {
-    // One copy needs 2.1 s of the origin's link; it ends 0.4 s later.
+    // One copy takes 2.1 s of the origin's link; it stops 0.4 s later.
     let cases = [
         (76, 0, 0),
         (76, 6, 0),
@@ -115,8 +115,8 @@
                 dies_ms,
                 ..setup(agents, seed)
             };
-            let outcome = play(setup.clone());
-            let bound_ms = bare_ms(&setup) * 5 / 2;
+            let outcome = run(setup.clone());
+            let bound_ms = min_copy_ms(&setup) * 5 / 2;
             assert!(
                 outcome.done_ms <= bound_ms,
                 "{agents} agents, {dead} silent: {outcome:?}"
@@ -127,7 +127,7 @@
 
 #[test]
 fn the_rest_of_a_copy_comes_at_the_origins_rate_when_it_is_back() {
-    // The origin fails when nine tenths of a copy have left it.
+    // The origin fails after nine tenths of a copy have left it.
     let back_ms = 8_500;
     for (agents, dead) in [(20, 0), (76, 0), (76, 6), (204, 0)] {
         for seed in 0..6 {
@@ -139,9 +139,9 @@
                 dead,
                 ..setup(agents, seed)
             };
-            let outcome = play(setup.clone());
-            // The longest pause of an agent that was refused, and a tenth of a
-            // copy through the trees.
+            let outcome = run(setup.clone());
+            // The maximum backoff of an agent that was refused, and a tenth of a copy
+            // through the trees.
             let bound_ms = back_ms + 1_500 + 250 + 100 * u64::from(agents.ilog2());
             assert!(outcome.done_ms <= bound_ms, "{agents} agents: {outcome:?}");
             assert!(outcome.draws <= 96 * 2, "{agents} agents: {outcome:?}");
@@ -159,7 +159,7 @@
                 origin_piece_ms: 27,
                 ..setup(agents, seed)
             };
-            let outcome = play(setup.clone());
+            let outcome = run(setup.clone());
             assert!(outcome.draws <= 105, "{agents} agents: {outcome:?}");
         }
     }
