--- a/crates/moleroad_dispatch/src/cost.rs
+++ b/crates/moleroad_dispatch/src/cost.rs
@@ -4,7 +4,7 @@
 use crate::targets::Targets;
 use moleroad_types::prelude::Millis;
 
-/// Cost of each request beyond the slots of a full target, in milliseconds: the time to
+/// Cost of each request overload the slots of a full target, in milliseconds: the time to
 /// run one request, divided by the slots.
 const OVERLOAD_COST_MS: f64 = 1_000.0;
 /// Added latency of a first event if all slots are in use, in milliseconds, for targets
@@ -35,10 +35,11 @@
         }
         // All entries see at the same time that a target has become free: until a
         // report shows what the others sent, each sends no more than its own share.
-        let is_crowd = self.reading.is_some() && load.unreported(now) >= candidate.share.max(1);
-        let is_light = requests + 1.0 <= slots * SHARED_LOAD_LIMIT && !is_crowd;
+        let has_used_share =
+            self.reading.is_some() && load.unreported(now) >= candidate.share.max(1);
+        let is_lightly_loaded = requests + 1.0 <= slots * SHARED_LOAD_LIMIT && !has_used_share;
         let has_own = load.own() < candidate.share && requests < slots;
-        load.own() < candidate.max_own && (is_light || has_own)
+        load.own() < candidate.max_own && (is_lightly_loaded || has_own)
     }
 
     pub(crate) fn meets_deadline(
@@ -72,11 +73,11 @@
                 first_ms * self.slowness(now, candidate) + BUSY_ENGINE_COST_MS * requests / slots
             }
         };
-        let beyond = (requests + 1.0 - slots).max(0.0) * OVERLOAD_COST_MS / slots;
+        let overload = (requests + 1.0 - slots).max(0.0) * OVERLOAD_COST_MS / slots;
         let failing = load.health.failure_rate(now) * FAILURE_COST_MS;
         let slow = (self.slowness(now, candidate) - 1.0).max(0.0) * SLOW_COST_MS;
-        let silent = load.timeout_cost_ms(now);
-        candidate.distance.cost_ms() + busy + beyond + failing + slow + silent
+        let timeouts = load.timeout_cost_ms(now);
+        candidate.distance.cost_ms() + busy + overload + failing + slow + timeouts
     }
 
     /// Returns whether the candidate is cheap enough to skip the search in other
@@ -85,7 +86,7 @@
         let Some(reading) = self.reading else {
             return true;
         };
-        let one_waits = reading.first_event_ms(0.0, reading.usual_prompt, 1.0);
-        self.cost_ms(now, candidate) <= one_waits + BUSY_ENGINE_COST_MS
+        let one_prompt_ms = reading.first_event_ms(0.0, reading.usual_prompt, 1.0);
+        self.cost_ms(now, candidate) <= one_prompt_ms + BUSY_ENGINE_COST_MS
     }
 }
--- a/crates/moleroad_dispatch/src/load.rs
+++ b/crates/moleroad_dispatch/src/load.rs
@@ -209,6 +209,6 @@
 
 /// Weight of a report by its age, 0 to 1.
 fn report_weight(age_ms: u64) -> f64 {
-    let fading = REPORT_EXPIRY_MS.saturating_sub(age_ms) as f64;
-    (fading / (REPORT_EXPIRY_MS - REPORT_FULL_WEIGHT_MS) as f64).min(1.0)
+    let remaining_ms = REPORT_EXPIRY_MS.saturating_sub(age_ms) as f64;
+    (remaining_ms / (REPORT_EXPIRY_MS - REPORT_FULL_WEIGHT_MS) as f64).min(1.0)
 }
--- a/crates/moleroad_dispatch/src/rate_bound.rs
+++ b/crates/moleroad_dispatch/src/rate_bound.rs
@@ -132,11 +132,11 @@
     /// Takes one grant, if one is available.
     pub fn take(&mut self, now: Millis) -> bool {
         self.refill(now);
-        let is_given = self.tokens >= 1.0;
-        if is_given {
+        let is_available = self.tokens >= 1.0;
+        if is_available {
             self.tokens -= 1.0;
         }
-        is_given
+        is_available
     }
 
     /// Returns the number of grants available now.
--- a/crates/moleroad_dispatch/tests/cold_admission.rs
+++ b/crates/moleroad_dispatch/tests/cold_admission.rs
@@ -89,8 +89,8 @@
 }
 
 /// Returns the source of the cold state, and the remaining time that an entry passes on
-/// to the agent at 2,000 ms, for a target whose hall returned to service at 1,000
-/// ms and that reported `left_ms` before that.
+/// to the agent at 2,000 ms, for a target whose hall returned to service at 1,000 ms
+/// and that reported `left_ms` before that.
 fn passed_on_after_restore(left_ms: u64) -> (ColdSource, u64) {
     let news = ColdEvidence {
         lasts_ms: 3_000,
