--- a/crates/moleroad_dispatch/src/cost.rs
+++ b/crates/moleroad_dispatch/src/cost.rs
@@ -4,7 +4,7 @@
 use crate::targets::Targets;
 use moleroad_types::prelude::Millis;
 
-/// Cost of each request overload the slots of a full target, in milliseconds: the time to
+/// Cost of each request beyond the slots of a full target, in milliseconds: the time to
 /// run one request, divided by the slots.
 const OVERLOAD_COST_MS: f64 = 1_000.0;
 /// Added latency of a first event if all slots are in use, in milliseconds, for targets
--- a/crates/moleroad_dispatch/src/division.rs
+++ b/crates/moleroad_dispatch/src/division.rs
@@ -1,6 +1,6 @@
-//! Static division of a target's rate bound among entries, for targets without
-//! an agent that could give grants: a few owner entries send to it, each at most its
-//! quota in any second.
+//! Static division of a target's rate bound among entries, for targets without an agent
+//! that could give grants: a few owner entries send to it, each at most its quota in
+//! any second.
 //!
 //! Every entry computes the same owners from the set of ready entries (rendezvous
 //! hashing: Thaler, Ravishankar, 1998). If the entries' views differ, there are two
--- a/crates/moleroad_rollout/src/choice.rs
+++ b/crates/moleroad_rollout/src/choice.rs
@@ -95,7 +95,7 @@
 /// without it.
 const IN_FLIGHT_TOLERANCE_MS: u64 = 1_500;
 /// Lateness tolerated for every agent while the origin is on schedule, in milliseconds:
-/// the trees of the agents' start times.
+/// the spread of the agents' start times.
 const TAKEOVER_BASE_MS: u64 = 150;
 /// Additional lateness tolerated per rank, in milliseconds: the delay of an
 /// announcement, plus one piece on the origin's link next to a few others. The piece of
