--- a/crates/moleroad_dispatch/src/eligibility.rs
+++ b/crates/moleroad_dispatch/src/eligibility.rs
@@ -1,8 +1,8 @@
 //! Eligibility of targets for a request.
 //!
-//! Every path that sends a request to a target checks [`exclusion`]: first sends,
-//! retries, resumed streams, requests that waited for a slot, and targets whose agents
-//! were queried.
+//! Every path that sends a request to a target makes this check: first sends, retries,
+//! resumed streams, requests that waited for a slot, and targets whose agents were
+//! queried.
 
 use crate::candidate::{Candidate, Requirements};
 use moleroad_types::prelude::AllowedRegions;
