--- a/crates/moleroad_directory/src/changes.rs
+++ b/crates/moleroad_directory/src/changes.rs
@@ -1,8 +1,8 @@
-//! What changed when, so that daemons pass on differences only.
+//! Change tracking, so that daemons forward only differences.
 //!
 //! A directory numbers its changes. Load changes many times a second and pieces of
-//! weights matter to agents only, so each has a number of its own.
-//! [`crate::news`] tells what changed since a number.
+//! weights matter to agents only, so each of these has its own position.
+//! [`crate::delta`] returns the changes after a position.
 
 use crate::daemon::DaemonRecord;
 use crate::directory::{Directory, Observed};
@@ -10,62 +10,62 @@
 use moleroad_types::prelude::{InstanceId, Millis};
 use serde::{Deserialize, Serialize};
 
-/// How long a daemon that called here is passed on to other data halls, in
-/// milliseconds.
-const FIRST_HAND_MS: u64 = 1_500;
+/// How long a daemon that called this process directly is forwarded to other data
+/// halls, in milliseconds.
+const DIRECT_CONTACT_MS: u64 = 1_500;
 
-/// In which respects two records of a daemon differ.
+/// The parts in which two records of a daemon differ.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Difference {
-    /// In more than the rest of these.
+pub struct RecordDiff {
+    /// Whether anything other than load and pieces differs.
     pub record: bool,
-    /// In how busy it is.
+    /// Whether the load differs.
     pub load: bool,
-    /// In the pieces of weights that it has.
+    /// Whether the pieces of weights differ.
     pub pieces: bool,
 }
 
-impl Difference {
-    /// Compares two records of one daemon.
+impl RecordDiff {
+    /// Compares two records of the same daemon.
     pub fn between(before: &DaemonRecord, after: &DaemonRecord) -> Self {
-        let load = LoadNews::of(before) != LoadNews::of(after);
+        let load = DaemonLoad::of(before) != DaemonLoad::of(after);
         let pieces = before.pieces != after.pieces;
-        let mut alike = before.clone();
-        alike.sequence = after.sequence;
-        alike.pieces.clone_from(&after.pieces);
-        LoadNews::of(after).put_into(&mut alike);
+        let mut normalized = before.clone();
+        normalized.sequence = after.sequence;
+        normalized.pieces.clone_from(&after.pieces);
+        DaemonLoad::of(after).write_to(&mut normalized);
         Self {
-            record: alike != *after,
+            record: normalized != *after,
             load,
             pieces,
         }
     }
 
-    /// Whether they are alike.
-    pub fn is_none(self) -> bool {
+    /// Returns whether the records do not differ.
+    pub fn is_empty(self) -> bool {
         self == Self::default()
     }
 }
 
-/// Numbers of the last changes of a record, in the order of its directory.
+/// Positions of a record's last changes in its directory's change sequence.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Changes {
-    /// Of anything but load and pieces.
+pub struct ChangePositions {
+    /// Position of the last change of anything other than load and pieces.
     pub record: u64,
-    /// When that was.
+    /// Time of that change.
     pub record_at: Millis,
-    /// Of load.
+    /// Position of the last change of load.
     pub load: u64,
-    /// Of pieces.
+    /// Position of the last change of pieces.
     pub pieces: u64,
-    /// When its subject last spoke to this process itself.
-    pub first_hand_at: Option<Millis>,
-    /// Number of its subject in this directory's answers; daemons only.
+    /// Time when the subject last called this process directly.
+    pub direct_contact_at: Option<Millis>,
+    /// Slot of the subject in this directory's answers; for daemons only.
     pub slot: Slot,
 }
 
-impl Changes {
-    /// A record that is new at `position`.
+impl ChangePositions {
+    /// Returns the positions of a record added at `position`.
     pub fn new(position: u64, at: Millis) -> Self {
         Self {
             record: position,
@@ -74,41 +74,41 @@
         }
     }
 
-    /// Notes that the record changed.
-    pub fn note_record(&mut self, position: u64, at: Millis) {
+    /// Records a change of the record.
+    pub fn mark_record(&mut self, position: u64, at: Millis) {
         self.record = position;
         self.record_at = at;
     }
 
-    /// Notes in which respects it changed.
-    pub fn note(&mut self, difference: Difference, position: u64, at: Millis) {
-        if difference.record {
-            self.note_record(position, at);
+    /// Records a change of the parts in `difference`.
+    pub fn apply_diff(&mut self, diff: RecordDiff, position: u64, at: Millis) {
+        if diff.record {
+            self.mark_record(position, at);
         }
-        if difference.load {
+        if diff.load {
             self.load = position;
         }
-        if difference.pieces {
+        if diff.pieces {
             self.pieces = position;
         }
     }
 }
 
-/// How busy a daemon, or the engine beside it, is.
+/// Load of a daemon or of its engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct LoadNews {
-    /// Requests that an entry has to place in a second.
+pub struct DaemonLoad {
+    /// Rate of requests that an entry has to place, per second.
     pub requests_per_s: f32,
-    /// Requests that run at an agent's engine.
+    /// Requests running at the agent's engine.
     pub running: u32,
-    /// Requests that wait at the engine.
+    /// Requests queued at the engine.
     pub queued: u32,
-    /// How much slower than published the engine is.
+    /// Slowdown of the engine relative to its published speed; 1 is the published speed.
     pub pace: f32,
 }
 
-impl LoadNews {
-    /// The part of a record that says how busy its subject is.
+impl DaemonLoad {
+    /// Returns the load part of a record.
     pub fn of(record: &DaemonRecord) -> Self {
         let requests_per_s = record.requests_per_s;
         match &record.report {
@@ -125,8 +125,8 @@
         }
     }
 
-    /// Brings a record up to date.
-    pub fn put_into(self, record: &mut DaemonRecord) {
+    /// Writes this load into a record.
+    pub fn write_to(self, record: &mut DaemonRecord) {
         record.requests_per_s = self.requests_per_s;
         if let Some(report) = &mut record.report {
             report.running = self.running;
@@ -136,19 +136,19 @@
     }
 }
 
-/// One life of a daemon and how far it had come.
+/// Version of a daemon's record: the incarnation and the sequence within it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordVersion {
-    /// Instance it runs on.
+    /// Instance that the daemon runs on.
     pub instance: InstanceId,
-    /// Drawn at each start.
+    /// Random number drawn at each start.
     pub incarnation: u64,
-    /// Number of the last change of its record.
+    /// Sequence number of the record within the incarnation.
     pub sequence: u64,
 }
 
 impl RecordVersion {
-    /// The life that wrote a record.
+    /// Returns the version of a record.
     pub fn of(record: &DaemonRecord) -> Self {
         Self {
             instance: record.instance.clone(),
@@ -158,17 +158,18 @@
     }
 }
 
-/// A record and how long ago its subject spoke, in milliseconds.
+/// A record and its age.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Aged<T> {
-    /// What was said.
+    /// The record.
     pub record: T,
-    /// How long ago, in milliseconds.
+    /// Time since its subject was last heard from, in milliseconds.
     pub age_ms: u64,
 }
 
-impl Changes {
-    /// The first change after `after` for which the whole record is told.
+impl ChangePositions {
+    /// Returns the position of the first change after `after` that requires sending the
+    /// whole record.
     pub(crate) fn first_record_after(&self, after: u64, with_pieces: bool) -> Option<u64> {
         let pieces = with_pieces.then_some(self.pieces);
         let positions = [Some(self.record), pieces].into_iter().flatten();
@@ -177,58 +178,61 @@
 }
 
 impl Directory {
-    /// Notes that a daemon spoke to this process itself.
+    /// Records that a daemon called this process directly.
     pub fn record_direct_contact(&mut self, now: Millis, instance: &InstanceId) {
         let position = self.position + 1;
-        let Some(heard) = self.daemons.get_mut(instance) else {
+        let Some(observed) = self.daemons.get_mut(instance) else {
             return;
         };
-        let was_first_hand = heard.is_first_hand(now);
-        heard.changes.first_hand_at = Some(now);
-        if !was_first_hand {
-            // Askers that want this hall only were not told of it meanwhile.
-            let at = heard.changes.record_at;
-            heard.changes.note_record(position, at);
+        let was_in_direct_contact = observed.is_in_direct_contact(now);
+        observed.changes.direct_contact_at = Some(now);
+        if !was_in_direct_contact {
+            // Callers that requested only this hall have not received this daemon since
+            // its last direct call, so its record counts as changed.
+            let at = observed.changes.record_at;
+            observed.changes.mark_record(position, at);
             self.position = position;
         }
     }
 
-    /// Takes a sign of life; false when its instance is not known here.
-    pub fn hear_life(&mut self, now: Millis, life: &RecordVersion, age_ms: u64) -> bool {
+    /// Records that a daemon was alive `age_ms` ago. Returns `false` if its instance is
+    /// unknown.
+    pub fn refresh_daemon(&mut self, now: Millis, version: &RecordVersion, age_ms: u64) -> bool {
         let at = Millis(now.0.saturating_sub(age_ms));
-        let Some(known) = self.daemons.get_mut(&life.instance) else {
+        let Some(known) = self.daemons.get_mut(&version.instance) else {
             return false;
         };
-        if known.record.incarnation == life.incarnation {
+        if known.record.incarnation == version.incarnation {
             known.at = known.at.max(at);
         }
         true
     }
 
-    /// Takes news of load; true if it is news of a life that is known.
-    pub fn hear_load(
+    /// Merges the load of a known incarnation. Returns whether more than the time of last
+    /// contact changed.
+    pub fn merge_load(
         &mut self,
         now: Millis,
-        life: &RecordVersion,
-        load: LoadNews,
+        version: &RecordVersion,
+        load: DaemonLoad,
         age_ms: u64,
     ) -> bool {
-        let Some(known) = self.daemons.get(&life.instance) else {
+        let Some(known) = self.daemons.get(&version.instance) else {
             return false;
         };
-        let is_same = known.record.incarnation == life.incarnation;
-        if !is_same || known.record.sequence > life.sequence {
+        let is_same_incarnation = known.record.incarnation == version.incarnation;
+        if !is_same_incarnation || known.record.sequence > version.sequence {
             return false;
         }
         let mut record = known.record.clone();
-        record.sequence = life.sequence;
-        load.put_into(&mut record);
+        record.sequence = version.sequence;
+        load.write_to(&mut record);
         self.merge_daemon(now, record, age_ms)
     }
 }
 
 impl<T: Clone> Observed<T> {
-    /// The record with its age.
+    /// Returns the record with its age.
     pub fn aged(&self, now: Millis) -> Aged<T> {
         Aged {
             record: self.record.clone(),
@@ -236,9 +240,9 @@
         }
     }
 
-    /// Whether its subject lately spoke to this process itself.
-    pub fn is_first_hand(&self, now: Millis) -> bool {
-        let at = self.changes.first_hand_at;
-        at.is_some_and(|at| now.since(at) < FIRST_HAND_MS)
+    /// Returns whether the subject recently called this process directly.
+    pub fn is_in_direct_contact(&self, now: Millis) -> bool {
+        let at = self.changes.direct_contact_at;
+        at.is_some_and(|at| now.since(at) < DIRECT_CONTACT_MS)
     }
 }
--- a/crates/moleroad_directory/src/daemon.rs
+++ b/crates/moleroad_directory/src/daemon.rs
@@ -1,46 +1,46 @@
-//! What a daemon says of itself.
+//! The records that daemons publish about themselves.
 
 use crate::target::Holding;
 use moleroad_types::prelude::InstanceId;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What a daemon does.
+/// Role of a daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DaemonRole {
-    /// Takes callers' requests.
+    /// Accepts requests from callers.
     Entry,
-    /// Brings weights to the engine of its instance.
+    /// Transfers weights to the engine on its instance.
     Agent,
-    /// Keeps the control state; takes no callers.
+    /// Holds the control state; accepts no requests from callers.
     Control,
 }
 
-/// Whether a daemon goes on.
+/// Lifecycle state of a daemon.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DaemonState {
-    /// Has no configuration yet.
+    /// The daemon has no configuration yet.
     Starting,
-    /// Works.
+    /// The daemon is in operation.
     #[default]
     Ready,
-    /// Was asked to stop.
+    /// The daemon was asked to stop.
     Leaving,
 }
 
-/// Which pieces of one version of a model an agent can give to others.
+/// Bitmap of the pieces of a model version that an agent can serve to others.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PieceMap {
     /// Name of the model.
     pub model: String,
     /// Version of the weights.
     pub version: u64,
-    /// One bit for each piece, lowest first.
+    /// One bit per piece, lowest first.
     pub bits: Vec<u64>,
 }
 
 impl PieceMap {
-    /// A map without pieces.
+    /// Returns a map with no pieces set.
     pub fn empty(model: impl Into<String>, version: u64, pieces: u32) -> Self {
         Self {
             model: model.into(),
@@ -49,13 +49,13 @@
         }
     }
 
-    /// Whether `piece` is held.
+    /// Returns whether `piece` is present.
     pub fn has(&self, piece: u32) -> bool {
         let word = self.bits.get(piece as usize / 64);
         word.is_some_and(|word| word >> (piece % 64) & 1 == 1)
     }
 
-    /// Marks `piece` as held or not.
+    /// Marks `piece` as present or absent; ignores pieces out of range.
     pub fn set(&mut self, piece: u32, held: bool) {
         let Some(word) = self.bits.get_mut(piece as usize / 64) else {
             return;
@@ -64,68 +64,68 @@
         *word = if held { *word | bit } else { *word & !bit };
     }
 
-    /// Number of pieces held.
+    /// Returns the number of pieces present.
     pub fn count(&self) -> u32 {
         self.bits.iter().map(|word| word.count_ones()).sum()
     }
 }
 
-/// What an agent last read from its engine.
+/// State of an engine, as last read by its agent.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct EngineReport {
-    /// Requests that run.
+    /// Running requests.
     pub running: u32,
-    /// Requests that wait at the engine.
+    /// Requests queued at the engine.
     pub queued: u32,
-    /// Layers the engine holds.
+    /// Layers that the engine holds.
     pub holdings: Vec<Holding>,
-    /// Whether the agent asks for no new requests: a change of weights is due.
+    /// Whether the agent requests no new work because a change of weights is due.
     pub switching: bool,
-    /// How much slower than published the engine is; 1 is as published.
+    /// Slowdown of the engine relative to its published speed; 1 is the published speed.
     pub pace: f32,
 }
 
-/// What a daemon last said of itself.
+/// The record that a daemon publishes about itself.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DaemonRecord {
-    /// Instance it runs on.
+    /// Instance that the daemon runs on.
     pub instance: InstanceId,
-    /// Drawn at each start.
+    /// Random number drawn at each start.
     pub incarnation: u64,
-    /// Rises with each change within an incarnation.
+    /// Sequence number within the incarnation, increased with each change.
     pub sequence: u64,
-    /// What it does.
+    /// Role of the daemon.
     pub role: DaemonRole,
-    /// Whether it goes on.
+    /// Lifecycle state.
     pub state: DaemonState,
-    /// Address that takes calls of other daemons.
+    /// Address for calls from other daemons.
     pub peer: SocketAddr,
-    /// Address that takes callers' requests.
+    /// Address for callers' requests.
     pub frontend: Option<SocketAddr>,
-    /// Address that takes targets' and operators' calls.
+    /// Address for calls from targets and operators.
     pub control: Option<SocketAddr>,
-    /// Whether it has a disk for the log of the control group.
+    /// Whether the daemon has a disk for the log of the control group.
     pub has_log: bool,
-    /// Requests that it has to place in a second; entries only.
+    /// Rate of requests that the daemon has to place, per second; entries only.
     pub requests_per_s: f32,
     /// Data hall.
     pub hall: String,
     /// Region.
     pub region: String,
-    /// The engine of its instance.
+    /// Address of the engine on its instance.
     pub engine: Option<SocketAddr>,
-    /// Service of that engine.
+    /// Service of the engine.
     pub service: Option<String>,
-    /// Pieces it can give: of the version that its engine's store holds, and
-    /// of one that it fetches.
+    /// Pieces that the daemon can serve: those of the version in its engine's store, and
+    /// those of a version being fetched.
     pub pieces: Vec<PieceMap>,
-    /// What it last read from the engine.
+    /// Latest report of the engine's state.
     pub report: Option<EngineReport>,
 }
 
 impl DaemonRecord {
-    /// A daemon that is ready, in its first life, and tells only where it stands. Its
-    /// region bears the name of its data hall.
+    /// Creates the record of a ready daemon with incarnation and sequence 1. The region
+    /// is set to the name of the data hall.
     pub fn new(
         instance: InstanceId,
         role: DaemonRole,
@@ -153,7 +153,7 @@
         }
     }
 
-    /// The pieces of a version that it can give.
+    /// Returns the pieces of a version that the daemon can serve.
     pub fn pieces_of(&self, model: &str, version: u64) -> Option<&PieceMap> {
         let mut maps = self.pieces.iter();
         maps.find(|map| map.model == model && map.version == version)
--- a/crates/moleroad_directory/src/lib.rs
+++ b/crates/moleroad_directory/src/lib.rs
@@ -1,10 +1,11 @@
-//! What a daemon knows of the targets and of the other daemons.
+//! A daemon's view of the targets and of the other daemons.
 //!
-//! Soft state: targets and daemons tell of themselves, daemons pass on what
-//! they heard together with its age, and what is not renewed expires. Merging
-//! two views gives the same result in any order. [`relays`] says who passes on
-//! what, [`news`] that only differences are passed on,
-//! and `naming` which entries callers are sent to.
+//! The directory is soft state, spread by gossip: targets and daemons report about
+//! themselves, daemons forward the records they received together with their age, and
+//! records that are not refreshed expire. Merging two views gives the same result in
+//! any order. [`relays`] chooses the daemons that forward records, [`delta`]
+//! transfers only what changed, and `entry_addresses` chooses the entries that are
+//! returned to callers.
 //!
 //! ```
 //! use moleroad_directory::prelude::*;
@@ -17,25 +18,25 @@
 //! ```
 #![warn(missing_docs)]
 
+pub mod apply;
 pub mod changes;
 pub mod daemon;
+pub mod delta;
 pub mod directory;
+mod entry_addresses;
 pub mod limit;
-mod naming;
-pub mod news;
 pub mod relays;
 pub mod slots;
-pub mod take;
 pub mod target;
 
 /// The types most users of the crate need.
 pub mod prelude {
-    pub use crate::changes::{Aged, LoadNews, RecordVersion};
+    pub use crate::apply::DeltaOutcome;
+    pub use crate::changes::{Aged, DaemonLoad, RecordVersion};
     pub use crate::daemon::{DaemonRecord, DaemonRole, DaemonState, EngineReport, PieceMap};
+    pub use crate::delta::{Cursor, DaemonDelta, DeltaRequest, Interest, News, Scope, SlotLoad};
     pub use crate::directory::{Directory, Observed, TargetChange};
     pub use crate::limit::{AdvertisedLimit, RequestRate};
-    pub use crate::news::{Cursor, DaemonNews, DeltaRequest, Interest, News, Scope, SlotLoad};
-    pub use crate::slots::{KnownSlots, Slot, SlotAges};
-    pub use crate::take::DeltaOutcome;
+    pub use crate::slots::{Slot, SlotAges, SlotTable};
     pub use crate::target::{Holding, TargetId, TargetLifecycle, TargetRecord};
 }
--- a/crates/moleroad_directory/src/limit.rs
+++ b/crates/moleroad_directory/src/limit.rs
@@ -1,36 +1,36 @@
-//! How many requests a second a target takes from all entries together, as it
-//! says in its answers.
+//! Rate limits that targets advertise in their responses: the rate of requests that a
+//! target accepts from all entries together.
 //!
-//! The word is a fact of a target's life. Each entry that notices a change gives
-//! it the next revision and tells all others, so that they need not agree on a
-//! clock.
+//! A limit applies to one incarnation of a target. Each entry that observes a change
+//! assigns it the next revision and forwards it to all others, so that entries need
+//! no common clock.
 
-use crate::directory::{Directory, begins_same};
+use crate::directory::{Directory, is_same_incarnation};
 use crate::target::{TargetId, TargetRecord};
 use moleroad_types::prelude::Millis;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
-/// Requests in a thousand seconds.
-const PER_S: f64 = 1_000.0;
+/// Units of [`RequestRate`] per request per second.
+const UNITS_PER_S: f64 = 1_000.0;
 
-/// A rate of requests.
+/// Rate of requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RequestRate {
-    /// Requests in a thousand seconds, rounded down.
+    /// Requests per thousand seconds, rounded down.
     per_1000_s: u64,
 }
 
 impl RequestRate {
-    /// So many requests a second; less than none is none.
+    /// Creates a rate from requests per second; negative values count as zero.
     pub fn per_s(requests: f64) -> Self {
         Self {
-            per_1000_s: (requests * PER_S) as u64,
+            per_1000_s: (requests * UNITS_PER_S) as u64,
         }
     }
 
-    /// Reads a decimal number of requests a second; anything else, also a negative
-    /// number, is `None`.
+    /// Parses a decimal number of requests per second. Returns `None` for any other text,
+    /// including signed numbers.
     pub fn read(text: &str) -> Option<Self> {
         let digits = text.trim();
         let is_decimal = digits.bytes().all(|b| b.is_ascii_digit() || b == b'.');
@@ -38,27 +38,28 @@
         Some(Self::per_s(requests))
     }
 
-    /// Requests a second.
+    /// Returns the rate in requests per second.
     pub fn as_per_s(self) -> f64 {
-        self.per_1000_s as f64 / PER_S
+        self.per_1000_s as f64 / UNITS_PER_S
     }
 }
 
-/// What a target last said of the requests that it takes.
+/// Rate limit that a target last advertised.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdvertisedLimit {
-    /// Rises with each change that an entry noticed.
+    /// Revision, increased with each observed change.
     pub revision: u64,
-    /// Requests a second from all entries; `None` while it names no limit.
+    /// Maximum rate of requests from all entries together; `None` if the target
+    /// advertises no limit.
     pub rate: Option<RequestRate>,
 }
 
 impl AdvertisedLimit {
-    /// The newer of two words; of two with one revision the stricter.
+    /// Returns the limit with the higher revision; for equal revisions, the stricter one.
     pub fn newer(self, other: Self) -> Self {
         let is_newer = other.revision > self.revision;
-        let is_twin = other.revision == self.revision;
-        if is_newer || (is_twin && is_stricter(other.rate, self.rate)) {
+        let is_same_revision = other.revision == self.revision;
+        if is_newer || (is_same_revision && is_stricter(other.rate, self.rate)) {
             other
         } else {
             self
@@ -73,14 +74,14 @@
     }
 }
 
-/// When the words of targets that named a limit were heard here.
-pub(crate) type WordsHeard = HashMap<TargetId, Millis>;
+/// Local times when the limits of targets were last updated.
+pub(crate) type LimitUpdateTimes = HashMap<TargetId, Millis>;
 
 impl Directory {
-    /// Takes what the life of a target that began at `born_ms` said of its limit in
-    /// its answer to a request that was sent at `sent_at`; true if that is news. An
-    /// answer to one that was sent before the last word was heard, or at a time that
-    /// is not known, may be older than that word: it counts only where it is stricter.
+    /// Updates the limit that the incarnation of a target born at `born_ms` advertised in
+    /// its response to a request sent at `sent_at`. Returns whether this is a change. If
+    /// the request was sent before the known limit was received, or at an unknown time,
+    /// the response may be older than that limit and counts only if it is stricter.
     pub fn target_named_limit(
         &mut self,
         now: Millis,
@@ -92,45 +93,46 @@
         let Some(known) = self.targets.get_mut(id) else {
             return false;
         };
-        let word = known.record.limit;
-        if !begins_same(&known.record, born_ms) || word.rate == rate {
+        let known_limit = known.record.limit;
+        if !is_same_incarnation(&known.record, born_ms) || known_limit.rate == rate {
             return false;
         }
-        let heard_at = self.limits_heard.get(id).copied().unwrap_or_default();
-        let is_later = sent_at.is_some_and(|sent_at| sent_at >= heard_at);
-        if !is_later && !is_stricter(rate, word.rate) {
+        let updated_at = self.limits_updated_at.get(id).copied().unwrap_or_default();
+        let is_current = sent_at.is_some_and(|sent_at| sent_at >= updated_at);
+        if !is_current && !is_stricter(rate, known_limit.rate) {
             return false;
         }
         known.record.limit = AdvertisedLimit {
-            revision: word.revision + 1,
+            revision: known_limit.revision + 1,
             rate,
         };
-        self.limits_heard.insert(id.clone(), now);
+        self.limits_updated_at.insert(id.clone(), now);
         self.position += 1;
-        known.changes.note_record(self.position, now);
+        known.changes.mark_record(self.position, now);
         true
     }
 
-    /// Takes the word on its limit that came with a record of the same life of a
-    /// target, whatever else is known of it; true if that is news.
-    pub(crate) fn take_limit(&mut self, now: Millis, record: &TargetRecord) -> bool {
+    /// Merges the limit in a record of the same incarnation, regardless of the sequence
+    /// of the record. Returns whether this is a change.
+    pub(crate) fn merge_limit(&mut self, now: Millis, record: &TargetRecord) -> bool {
         let Some(known) = self.targets.get_mut(&record.id) else {
             return false;
         };
         let newer = known.record.limit.newer(record.limit);
-        let is_news = newer != known.record.limit;
-        if is_news {
+        let is_change = newer != known.record.limit;
+        if is_change {
             known.record.limit = newer;
-            self.limits_heard.insert(record.id.clone(), now);
+            self.limits_updated_at.insert(record.id.clone(), now);
             self.position += 1;
-            known.changes.note_record(self.position, now);
+            known.changes.mark_record(self.position, now);
         }
-        is_news
+        is_change
     }
 
-    /// Forgets when words of targets were heard that are not known any more.
+    /// Removes the update times of targets that are no longer known.
     pub(crate) fn expire_limits(&mut self) {
         let targets = &self.targets;
-        self.limits_heard.retain(|id, _| targets.contains_key(id));
+        self.limits_updated_at
+            .retain(|id, _| targets.contains_key(id));
     }
 }
--- a/crates/moleroad_directory/src/slots.rs
+++ b/crates/moleroad_directory/src/slots.rs
@@ -1,9 +1,9 @@
-//! Small numbers in place of the names of daemons, in one directory's answers.
+//! Compact numbers that replace the names of daemons in a directory's answers.
 //!
-//! Load and signs of life are told many times a second. A name and an incarnation
-//! take some 30 bytes, a number 1 to 3, and signs of life by number take one byte
-//! a daemon. A number is told with its daemon's whole record first; it is given
-//! to another daemon only when that one is forgotten here.
+//! Load and liveness are sent many times a second. A name and an incarnation take
+//! some 30 bytes, a slot number takes 1 to 3, and ages indexed by slot take one byte
+//! per daemon. A slot is first sent with the daemon's whole record and reused for
+//! another daemon only after the first one has expired from this directory.
 
 use crate::changes::RecordVersion;
 use crate::daemon::DaemonRecord;
@@ -12,14 +12,14 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// The number of a daemon in one directory's answers.
+/// Number of a daemon in one directory's answers.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct Slot(pub u32);
 
-/// The numbers that a directory gave.
+/// Allocator for the slots of a directory.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Slots {
     next: u32,
@@ -27,8 +27,8 @@
 }
 
 impl Slots {
-    /// The lowest number that is free.
-    pub fn take(&mut self) -> Slot {
+    /// Allocates the lowest free slot.
+    pub fn allocate(&mut self) -> Slot {
         self.free.pop_first().unwrap_or_else(|| {
             let slot = Slot(self.next);
             self.next += 1;
@@ -36,80 +36,83 @@
         })
     }
 
-    /// Frees a number.
-    pub fn give_back(&mut self, slot: Slot) {
+    /// Releases a slot.
+    pub fn release(&mut self, slot: Slot) {
         self.free.insert(slot);
     }
 }
 
-/// Unit of ages in [`SlotAges`], in milliseconds.
+/// Resolution of [`SlotAges`], in milliseconds.
 const AGE_UNIT_MS: u64 = 50;
-/// Of a daemon that is not spoken of, or was not heard for 255 units (12.75 s).
-const NO_SIGN: u8 = u8::MAX;
+/// Age of a daemon that is not included, or was not heard from for 255 units (12.75
+/// s).
+const AGE_UNKNOWN: u8 = u8::MAX;
 
-/// How long ago each daemon spoke, by its number.
+/// Time since each daemon was last heard from, indexed by slot.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct SlotAges(#[serde(with = "serde_bytes")] Vec<u8>);
 
 impl SlotAges {
-    /// Of these daemons of one directory.
+    /// Collects the ages of daemons of one directory.
     pub(crate) fn of<'a>(
         now: Millis,
         daemons: impl Iterator<Item = &'a Observed<DaemonRecord>>,
     ) -> Self {
         let mut ages = Vec::new();
-        for heard in daemons {
-            let at = heard.changes.slot.0 as usize;
-            if at >= ages.len() {
-                ages.resize(at + 1, NO_SIGN);
+        for observed in daemons {
+            let index = observed.changes.slot.0 as usize;
+            if index >= ages.len() {
+                ages.resize(index + 1, AGE_UNKNOWN);
             }
-            // Rounded up: nobody is taken to have spoken later than it did.
-            let units = now.since(heard.at).div_ceil(AGE_UNIT_MS);
-            ages[at] = u8::try_from(units).unwrap_or(NO_SIGN);
+            // Rounded up, so that no daemon appears to have been heard from more recently
+            // than it was.
+            let units = now.since(observed.at).div_ceil(AGE_UNIT_MS);
+            ages[index] = u8::try_from(units).unwrap_or(AGE_UNKNOWN);
         }
         Self(ages)
     }
 
-    /// The daemons that spoke lately, with how long ago in milliseconds.
-    pub fn signs(&self) -> impl Iterator<Item = (Slot, u64)> {
-        let signs = self.0.iter().enumerate();
-        let signs = signs.filter(|(_, units)| **units != NO_SIGN);
-        signs.map(|(at, units)| (Slot(at as u32), u64::from(*units) * AGE_UNIT_MS))
+    /// Returns the slots and ages, in milliseconds, of the daemons that were heard from
+    /// recently.
+    pub fn known_ages(&self) -> impl Iterator<Item = (Slot, u64)> {
+        let known_ages = self.0.iter().enumerate();
+        let known_ages = known_ages.filter(|(_, units)| **units != AGE_UNKNOWN);
+        known_ages.map(|(index, units)| (Slot(index as u32), u64::from(*units) * AGE_UNIT_MS))
     }
 }
 
-/// Whom the numbers in another daemon's answers stand for.
+/// Maps the slots in another daemon's answers to the records they refer to.
 #[derive(Clone, Debug, Default)]
-pub struct KnownSlots {
+pub struct SlotTable {
     incarnation: u64,
-    lives: Vec<Option<RecordVersion>>,
+    versions: Vec<Option<RecordVersion>>,
 }
 
-impl KnownSlots {
-    /// Forgets all if the answers come from another life of the callee.
-    pub fn begin(&mut self, incarnation: u64) {
+impl SlotTable {
+    /// Clears the table if `incarnation` shows that the callee restarted.
+    pub fn clear_if_restarted(&mut self, incarnation: u64) {
         if self.incarnation != incarnation {
             self.incarnation = incarnation;
-            self.lives.clear();
+            self.versions.clear();
         }
     }
 
-    /// Takes that a number stands for a daemon.
-    pub fn learn(&mut self, slot: Slot, life: RecordVersion) {
-        let at = slot.0 as usize;
-        // A callee's numbers are below the most daemons that a directory keeps.
-        if at >= crate::directory::MAX_DAEMONS {
+    /// Assigns a slot to a daemon's record.
+    pub fn assign(&mut self, slot: Slot, version: RecordVersion) {
+        let index = slot.0 as usize;
+        // Slots are bounded by the maximum number of daemons in a directory.
+        if index >= crate::directory::MAX_DAEMONS {
             return;
         }
-        if at >= self.lives.len() {
-            self.lives.resize(at + 1, None);
+        if index >= self.versions.len() {
+            self.versions.resize(index + 1, None);
         }
-        self.lives[at] = Some(life);
+        self.versions[index] = Some(version);
     }
 
-    /// The daemon that a number stands for.
-    pub fn life(&self, slot: Slot) -> Option<&RecordVersion> {
-        self.lives.get(slot.0 as usize)?.as_ref()
+    /// Returns the record version that a slot refers to.
+    pub fn get(&self, slot: Slot) -> Option<&RecordVersion> {
+        self.versions.get(slot.0 as usize)?.as_ref()
     }
 }
--- a/crates/moleroad_directory/src/target.rs
+++ b/crates/moleroad_directory/src/target.rs
@@ -1,4 +1,4 @@
-//! What a target says of itself.
+//! The records that targets publish about themselves.
 
 use crate::limit::AdvertisedLimit;
 use serde::{Deserialize, Serialize};
@@ -6,19 +6,19 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Identity of a target. Most draw another one when they begin again; those that
-/// keep it tell another [`TargetRecord::born_ms`].
+/// Identity of a target. Most targets choose a new one when they restart; those that
+/// keep it announce a new [`TargetRecord::born_ms`].
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct TargetId(pub Arc<str>);
 
 impl TargetId {
-    /// Wraps `text`.
+    /// Creates an identity from `text`.
     pub fn new(text: impl AsRef<str>) -> Self {
         Self(text.as_ref().into())
     }
 
-    /// The identity as text.
+    /// Returns the identity as a string slice.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -30,64 +30,65 @@
     }
 }
 
-/// How far a target is in its life; it only goes forward.
+/// Lifecycle state of a target; it only moves forward.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum TargetLifecycle {
-    /// Takes requests.
+    /// Accepts requests.
     #[default]
     Ready,
-    /// Will end soon and gets no new requests.
+    /// Is shutting down and receives no new requests.
     Draining,
-    /// Has ended, or is about to.
+    /// Has ended or is about to end.
     Gone,
 }
 
-/// Layers of a model that an engine holds.
+/// A range of layers of a model that an engine holds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holding {
     /// Name of the model.
     pub model: String,
     /// First layer.
     pub from: u32,
-    /// Layer after the last one.
+    /// Layer after the last one (exclusive bound).
     pub to: u32,
     /// Version of the weights.
     pub version: u64,
 }
 
-/// What a target last said of itself.
+/// The record that a target publishes about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetRecord {
-    /// Identity of this life.
+    /// Identity of the target.
     pub id: TargetId,
-    /// Service it belongs to.
+    /// Service that the target belongs to.
     pub service: String,
-    /// Address that takes requests.
+    /// Address for requests.
     pub address: SocketAddr,
-    /// Data hall it stands in.
+    /// Data hall of the target.
     pub hall: String,
-    /// Requests it works on at once.
+    /// Number of requests that the target processes concurrently.
     pub slots: u32,
-    /// How far it is in its life.
+    /// Lifecycle state.
     pub life: TargetLifecycle,
-    /// Rises with each call of the target; orders late calls.
+    /// Sequence number, increased with each call of the target, so that late calls are
+    /// recognized.
     pub sequence: u64,
-    /// How much longer it is slow from its start, in milliseconds.
+    /// Remaining time during which the target is slow after its start, in milliseconds.
     pub cold_left_ms: u64,
-    /// Layers it holds; `None` for a target that is no engine.
+    /// Layers that the target holds; `None` if it is not an engine.
     pub holdings: Option<Vec<Holding>>,
-    /// Unix time of its start as it says, in milliseconds; 0 when it does not. A
-    /// target may begin again under the same identity.
+    /// Unix time of the target's start as it reports it, in milliseconds; 0 if it reports
+    /// none. Distinguishes restarts under the same identity.
     #[serde(default)]
     pub born_ms: u64,
-    /// What it says in its answers of the requests that it takes; its own calls do
-    /// not tell.
+    /// Rate limit that the target advertises in its responses; its own calls do not
+    /// contain it.
     #[serde(default)]
     pub limit: AdvertisedLimit,
 }
 
 impl TargetRecord {
-    /// A ready plain target, the first time it calls.
+    /// Creates the record of a ready plain target with sequence 0.
     pub fn new(id: TargetId, service: impl Into<String>, address: SocketAddr) -> Self {
         Self {
             id,
@@ -105,7 +106,8 @@
     }
 }
 
-/// The version at which `holdings` cover all `layers` of `model`.
+/// Returns the version for which `holdings` cover all `layers` of `model`, or `None`
+/// if layers are missing or of different versions.
 pub fn complete_version(holdings: &[Holding], model: &str, layers: u32) -> Option<u64> {
     let of_model = || holdings.iter().filter(|holding| holding.model == model);
     let version = of_model().next()?.version;
--- a/crates/moleroad_directory/tests/directory.rs
+++ b/crates/moleroad_directory/tests/directory.rs
@@ -1,4 +1,5 @@
-//! Merging what targets and daemons say.
+//! Tests of merging the records of targets and daemons, and of choosing entry
+//! addresses.
 
 use moleroad_directory::prelude::*;
 use moleroad_directory::target::complete_version;
@@ -23,9 +24,9 @@
     }
 }
 
-fn life_of(directory: &Directory, id: &str) -> Option<TargetLifecycle> {
-    let heard = directory.target(&TargetId::new(id))?;
-    Some(heard.record.life)
+fn lifecycle_of(directory: &Directory, id: &str) -> Option<TargetLifecycle> {
+    let observed = directory.target(&TargetId::new(id))?;
+    Some(observed.record.life)
 }
 
 #[test]
@@ -43,7 +44,10 @@
         TargetChange::Stale
     );
     directory.merge_target(Millis(30), target("a", 1, 6), 0);
-    assert_eq!(life_of(&directory, "a"), Some(TargetLifecycle::Draining));
+    assert_eq!(
+        lifecycle_of(&directory, "a"),
+        Some(TargetLifecycle::Draining)
+    );
 }
 
 #[test]
@@ -51,11 +55,15 @@
     let mut directory = Directory::new();
     directory.merge_target(Millis(0), target("old", 1, 9), 0);
     directory.merge_target(Millis(100), target("new", 1, 1), 0);
-    assert_eq!(life_of(&directory, "old"), Some(TargetLifecycle::Gone));
-    assert_eq!(life_of(&directory, "new"), Some(TargetLifecycle::Ready));
-    // News of the old life that arrives by way of another daemon changes nothing.
+    assert_eq!(lifecycle_of(&directory, "old"), Some(TargetLifecycle::Gone));
+    assert_eq!(
+        lifecycle_of(&directory, "new"),
+        Some(TargetLifecycle::Ready)
+    );
+    // A record of the old incarnation that arrives through another daemon changes
+    // nothing.
     directory.merge_target(Millis(120), target("old", 1, 10), 90);
-    assert_eq!(life_of(&directory, "old"), Some(TargetLifecycle::Gone));
+    assert_eq!(lifecycle_of(&directory, "old"), Some(TargetLifecycle::Gone));
 }
 
 #[test]
@@ -65,7 +73,7 @@
     assert!(directory.target_gone(Millis(5), &TargetId::new("a")));
     assert!(!directory.target_gone(Millis(6), &TargetId::new("a")));
     directory.merge_target(Millis(7), target("a", 1, 2), 0);
-    assert_eq!(life_of(&directory, "a"), Some(TargetLifecycle::Gone));
+    assert_eq!(lifecycle_of(&directory, "a"), Some(TargetLifecycle::Gone));
 }
 
 #[test]
@@ -123,7 +131,7 @@
     let mut restarted = entry("a", "h", "r", 1);
     restarted.incarnation = 2;
     directory.merge_daemon(Millis(1_000), restarted.clone(), 0);
-    // The earlier life, as another daemon remembers it.
+    // The earlier incarnation, as another daemon still has it.
     assert!(!directory.merge_daemon(Millis(1_001), entry("a", "h", "r", 1), 700));
     let known = directory.daemon(&InstanceId::new("a")).unwrap();
     assert_eq!(known.record, restarted);
@@ -169,37 +177,37 @@
 #[test]
 fn that_a_target_turns_cold_is_news_and_that_time_passes_is_not() {
     let mut directory = Directory::new();
-    let told = |sequence, cold_left_ms| TargetRecord {
+    let cold_record = |sequence, cold_left_ms| TargetRecord {
         cold_left_ms,
         ..target("a", 1, sequence)
     };
-    let hear =
+    let merge =
         |directory: &mut Directory, at: u64, record| directory.merge_target(Millis(at), record, 0);
-    hear(&mut directory, 0, told(1, 0));
+    merge(&mut directory, 0, cold_record(1, 0));
     let before = directory.position();
     assert_eq!(
-        hear(&mut directory, 1_000, told(2, 3_000)),
+        merge(&mut directory, 1_000, cold_record(2, 3_000)),
         TargetChange::Changed
     );
     assert!(directory.position() > before);
-    // As long as was said, give or take what a call takes on its way.
+    // The remaining time counts down as announced, up to the latency of a call.
     for (at, sequence, left_ms) in [(2_000, 3, 2_100), (4_200, 4, 0)] {
-        let change = hear(&mut directory, at, told(sequence, left_ms));
+        let change = merge(&mut directory, at, cold_record(sequence, left_ms));
         assert_eq!(change, TargetChange::Renewed);
     }
-    // Cold again while it is still cold.
+    // The cold period is extended while the target is still cold.
     assert_eq!(
-        hear(&mut directory, 5_000, told(5, 3_000)),
+        merge(&mut directory, 5_000, cold_record(5, 3_000)),
         TargetChange::Changed
     );
     assert_eq!(
-        hear(&mut directory, 6_000, told(6, 3_000)),
+        merge(&mut directory, 6_000, cold_record(6, 3_000)),
         TargetChange::Changed
     );
 }
 
-/// Entries in the halls and regions `h1`/`r1` to `h4`/`r4`, at ports of their
-/// own, except in those that are left out.
+/// Returns two entries in each of the halls and regions `h1`/`r1` to `h4`/`r4`, with
+/// distinct ports, except for the regions in `left_out`.
 fn entries_in_four_regions(left_out: &[u16]) -> Directory {
     let mut directory = Directory::new();
     for region in (1..=4u16).filter(|region| !left_out.contains(region)) {
@@ -213,12 +221,12 @@
     directory
 }
 
-/// The regions, by number, of the entries that are named to a caller in `h1`
-/// whose requests may be served in these regions.
-fn named_regions(directory: &Directory, allowed: &[&str]) -> Vec<u16> {
+/// Returns the numbers of the regions whose entries are returned to a caller in `h1`
+/// whose requests may be served in the `allowed` regions.
+fn returned_regions(directory: &Directory, allowed: &[&str]) -> Vec<u16> {
     let allowed = AllowedRegions::only(allowed.iter().map(|name| Region::new(*name)));
-    let named = directory.addresses_for(Millis(1), "h1", "r1", &allowed, 0);
-    let mut regions: Vec<u16> = named.iter().map(|a| (a.port() - 1_000) / 10).collect();
+    let returned = directory.addresses_for(Millis(1), "h1", "r1", &allowed, 0);
+    let mut regions: Vec<u16> = returned.iter().map(|a| (a.port() - 1_000) / 10).collect();
     regions.sort_unstable();
     regions.dedup();
     regions
@@ -226,28 +234,28 @@
 
 #[test]
 fn entries_of_allowed_regions_are_named_before_all_others() {
-    // The caller's own hall holds nothing that it must not.
+    // The caller's own hall is always an acceptable destination.
     let whole = entries_in_four_regions(&[]);
-    assert_eq!(named_regions(&whole, &["r2", "r3"]), [1]);
+    assert_eq!(returned_regions(&whole, &["r2", "r3"]), [1]);
     let without_own = entries_in_four_regions(&[1]);
-    assert_eq!(named_regions(&without_own, &["r2", "r3"]), [2, 3]);
-    assert_eq!(named_regions(&without_own, &["r4"]), [4]);
+    assert_eq!(returned_regions(&without_own, &["r2", "r3"]), [2, 3]);
+    assert_eq!(returned_regions(&without_own, &["r4"]), [4]);
 }
 
 #[test]
 fn entries_elsewhere_are_named_when_there_are_no_others() {
     let without_allowed = entries_in_four_regions(&[1, 2]);
-    assert_eq!(named_regions(&without_allowed, &["r2"]), [3, 4]);
+    assert_eq!(returned_regions(&without_allowed, &["r2"]), [3, 4]);
 }
 
 #[test]
 fn one_entry_of_an_allowed_region_is_enough() {
     let mut directory = entries_in_four_regions(&[1, 2]);
     directory.merge_daemon(Millis(0), entry("only", "h2", "r2", 20), 0);
-    assert_eq!(named_regions(&directory, &["r2"]), [2]);
+    assert_eq!(returned_regions(&directory, &["r2"]), [2]);
 }
 
-/// A hall with `entries` entries and twice as many agents.
+/// Returns a hall with `entries` entries and twice as many agents.
 fn hall(entries: u16) -> Directory {
     let mut directory = Directory::new();
     for number in 0..entries * 3 {
@@ -266,8 +274,8 @@
     directory
 }
 
-/// How often each address is named in that many answers.
-fn times_named(directory: &Directory, answers: u64) -> HashMap<SocketAddr, u64> {
+/// Counts how often each address is returned in `answers` answers.
+fn times_returned(directory: &Directory, answers: u64) -> HashMap<SocketAddr, u64> {
     let mut times = HashMap::new();
     for draw in 0..answers {
         let all = AllowedRegions::all();
@@ -282,25 +290,25 @@
 fn where_more_entries_are_ready_than_an_answer_names_all_are_named_alike() {
     let directory = hall(200);
     let relays = directory.relays(Millis(1), "h1").len() as u64;
-    let times = times_named(&directory, 1_000);
+    let times = times_returned(&directory, 1_000);
     assert_eq!(times.len() as u64, 200 - relays);
     let fair = 64_000 / (200 - relays);
     for times in times.values() {
         assert!(
             (fair * 4 / 5..fair * 6 / 5).contains(times),
-            "{times} of {fair}"
+            "returned {times} times, expected about {fair}"
         );
     }
 }
 
 #[test]
 fn relays_are_not_named_where_others_can_take_their_callers() {
-    for (entries, are_named) in [(8, true), (16, true), (48, false), (200, false)] {
+    for (entries, are_returned) in [(8, true), (16, true), (48, false), (200, false)] {
         let directory = hall(entries);
-        let times = times_named(&directory, 100);
+        let times = times_returned(&directory, 100);
         for relay in directory.relays(Millis(1), "h1") {
-            let is_named = times.contains_key(&relay.frontend.unwrap());
-            assert_eq!(is_named, are_named, "of {entries} entries");
+            let is_returned = times.contains_key(&relay.frontend.unwrap());
+            assert_eq!(is_returned, are_returned, "with {entries} entries");
         }
     }
 }
@@ -323,8 +331,8 @@
     directory.merge_target(Millis(100), former, 0);
     let change = directory.merge_target(Millis(200), born(2_000, 1), 0);
     assert_eq!(change, TargetChange::Changed);
-    let heard = directory.target(&TargetId::new("t-1")).unwrap();
-    assert_eq!(heard.record, born(2_000, 1));
+    let observed = directory.target(&TargetId::new("t-1")).unwrap();
+    assert_eq!(observed.record, born(2_000, 1));
 }
 
 #[test]
@@ -340,7 +348,10 @@
         directory.merge_target(Millis(200), late, 0),
         TargetChange::Stale
     );
-    assert_eq!(life_of(&directory, "t-1"), Some(TargetLifecycle::Ready));
+    assert_eq!(
+        lifecycle_of(&directory, "t-1"),
+        Some(TargetLifecycle::Ready)
+    );
     assert_eq!(directory.position(), position);
 }
 
@@ -352,8 +363,8 @@
         directory.merge_target(Millis(200), born(0, 4), 0),
         TargetChange::Stale
     );
-    let heard = directory.target(&TargetId::new("t-1")).unwrap();
-    assert_eq!(heard.record, born(2_000, 5));
+    let observed = directory.target(&TargetId::new("t-1")).unwrap();
+    assert_eq!(observed.record, born(2_000, 5));
 }
 
 #[test]
@@ -362,8 +373,12 @@
     directory.merge_target(Millis(100), born(2_000, 5), 0);
     directory.merge_target(Millis(200), born(0, 6), 0);
     directory.merge_target(Millis(300), born(3_000, 1), 0);
-    let heard = directory.target(&TargetId::new("t-1")).unwrap();
-    assert_eq!(heard.record, born(3_000, 1), "another life began");
+    let observed = directory.target(&TargetId::new("t-1")).unwrap();
+    assert_eq!(
+        observed.record,
+        born(3_000, 1),
+        "another incarnation started"
+    );
 }
 
 #[test]
@@ -373,14 +388,23 @@
     let id = TargetId::new("t-1");
     let position = directory.position();
     assert!(directory.target_leaves(Millis(200), &id, 2_000));
-    assert!(directory.position() > position, "others are told");
-    assert!(!directory.target_leaves(Millis(210), &id, 2_000), "no news");
+    assert!(directory.position() > position, "the change is forwarded");
+    assert!(
+        !directory.target_leaves(Millis(210), &id, 2_000),
+        "no change"
+    );
     directory.merge_target(Millis(300), born(2_000, 6), 0);
     directory.merge_target(Millis(400), born(0, 7), 0);
-    assert_eq!(life_of(&directory, "t-1"), Some(TargetLifecycle::Draining));
-    // Its next life is ready.
+    assert_eq!(
+        lifecycle_of(&directory, "t-1"),
+        Some(TargetLifecycle::Draining)
+    );
+    // The next incarnation is ready.
     directory.merge_target(Millis(500), born(3_000, 1), 0);
-    assert_eq!(life_of(&directory, "t-1"), Some(TargetLifecycle::Ready));
+    assert_eq!(
+        lifecycle_of(&directory, "t-1"),
+        Some(TargetLifecycle::Ready)
+    );
 }
 
 #[test]
@@ -390,23 +414,29 @@
     let id = TargetId::new("t-1");
     assert!(!directory.target_leaves(Millis(200), &id, 1_000));
     assert!(!directory.target_leaves(Millis(200), &TargetId::new("unknown"), 0));
-    assert_eq!(life_of(&directory, "t-1"), Some(TargetLifecycle::Ready));
+    assert_eq!(
+        lifecycle_of(&directory, "t-1"),
+        Some(TargetLifecycle::Ready)
+    );
     directory.target_gone(Millis(300), &id);
     assert!(!directory.target_leaves(Millis(400), &id, 2_000));
-    assert_eq!(life_of(&directory, "t-1"), Some(TargetLifecycle::Gone));
+    assert_eq!(lifecycle_of(&directory, "t-1"), Some(TargetLifecycle::Gone));
 }
 
 #[test]
 fn that_a_target_leaves_reaches_others_though_its_heartbeat_did_not_change() {
-    let mut told = Directory::new();
-    let mut teller = Directory::new();
-    for directory in [&mut told, &mut teller] {
+    let mut receiver = Directory::new();
+    let mut sender = Directory::new();
+    for directory in [&mut receiver, &mut sender] {
         directory.merge_target(Millis(100), born(2_000, 5), 0);
     }
     let id = TargetId::new("t-1");
-    teller.target_leaves(Millis(200), &id, 2_000);
-    let news = teller.target(&id).unwrap().aged(Millis(250));
-    let change = told.merge_target(Millis(1_000), news.record, news.age_ms);
+    sender.target_leaves(Millis(200), &id, 2_000);
+    let update = sender.target(&id).unwrap().aged(Millis(250));
+    let change = receiver.merge_target(Millis(1_000), update.record, update.age_ms);
     assert_eq!(change, TargetChange::Changed);
-    assert_eq!(life_of(&told, "t-1"), Some(TargetLifecycle::Draining));
+    assert_eq!(
+        lifecycle_of(&receiver, "t-1"),
+        Some(TargetLifecycle::Draining)
+    );
 }
--- a/crates/moleroad_directory/tests/limits.rs
+++ b/crates/moleroad_directory/tests/limits.rs
@@ -1,4 +1,4 @@
-//! What targets say of the requests that they take, as it is kept and merged.
+//! Tests of storing and merging the rate limits that targets advertise.
 
 use moleroad_directory::prelude::*;
 use moleroad_types::prelude::Millis;
@@ -15,8 +15,8 @@
     }
 }
 
-/// A directory that has heard of the target.
-fn knows_it() -> Directory {
+/// Returns a directory that knows the target.
+fn directory_with_target() -> Directory {
     let mut directory = Directory::new();
     directory.merge_target(Millis(10), record(1, 1_000), 0);
     directory
@@ -30,8 +30,8 @@
     directory.target(&id()).unwrap().record.limit
 }
 
-/// Says at `now` what an answer to a request of `sent_at` named.
-fn name(directory: &mut Directory, now: u64, sent_at: u64, rate: Option<RequestRate>) -> bool {
+/// Applies, at `now`, the limit in a response to a request sent at `sent_at`.
+fn advertise(directory: &mut Directory, now: u64, sent_at: u64, rate: Option<RequestRate>) -> bool {
     let sent_at = Some(Millis(sent_at));
     directory.target_named_limit(Millis(now), &id(), 1_000, sent_at, rate)
 }
@@ -53,24 +53,28 @@
 
 #[test]
 fn a_limit_holds_until_an_answer_to_a_later_request_lacks_it() {
-    let mut directory = knows_it();
-    assert!(name(&mut directory, 100, 90, rate(2.0)));
-    assert!(!name(&mut directory, 110, 100, rate(2.0)), "no news");
-    // Sent before the limit was heard of: the answer may be older than it.
-    assert!(!name(&mut directory, 120, 99, None));
-    assert!(!name(&mut directory, 120, 99, rate(3.0)));
-    assert!(name(&mut directory, 120, 99, rate(1.0)), "it is stricter");
+    let mut directory = directory_with_target();
+    assert!(advertise(&mut directory, 100, 90, rate(2.0)));
+    assert!(!advertise(&mut directory, 110, 100, rate(2.0)), "no change");
+    // The request was sent before the limit was known, so the response may be older than
+    // it.
+    assert!(!advertise(&mut directory, 120, 99, None));
+    assert!(!advertise(&mut directory, 120, 99, rate(3.0)));
+    assert!(
+        advertise(&mut directory, 120, 99, rate(1.0)),
+        "a stricter limit counts"
+    );
     assert_eq!(limit(&directory).rate, rate(1.0));
     let unknown = directory.target_named_limit(Millis(130), &id(), 1_000, None, None);
-    assert!(!unknown, "when it was sent is not known");
-    assert!(name(&mut directory, 130, 120, None));
+    assert!(!unknown, "the sending time is unknown");
+    assert!(advertise(&mut directory, 130, 120, None));
     assert_eq!(limit(&directory).rate, None);
 }
 
 #[test]
 fn its_own_calls_leave_the_limit_of_a_target_as_it_is() {
-    let mut directory = knows_it();
-    name(&mut directory, 100, 90, rate(2.0));
+    let mut directory = directory_with_target();
+    advertise(&mut directory, 100, 90, rate(2.0));
     for sequence in [2, 1] {
         directory.merge_target(Millis(200), record(sequence, 1_000), 0);
         assert_eq!(limit(&directory).rate, rate(2.0));
@@ -81,37 +85,37 @@
 
 #[test]
 fn a_new_life_has_no_limit_and_gets_none_from_the_former() {
-    let mut directory = knows_it();
-    name(&mut directory, 100, 90, rate(2.0));
+    let mut directory = directory_with_target();
+    advertise(&mut directory, 100, 90, rate(2.0));
     let former = directory.target(&id()).unwrap().record.clone();
     directory.merge_target(Millis(200), record(1, 2_000), 0);
     assert_eq!(limit(&directory), AdvertisedLimit::default());
-    // Said by the former life, heard of later.
-    assert!(!name(&mut directory, 210, 205, rate(1.0)));
+    // The former incarnation advertised it; the record arrives late.
+    assert!(!advertise(&mut directory, 210, 205, rate(1.0)));
     directory.merge_target(Millis(220), former, 0);
     assert_eq!(limit(&directory), AdvertisedLimit::default());
 }
 
 #[test]
 fn all_directories_come_to_one_limit_in_any_order_of_news() {
-    let word = |revision, per_s: Option<f64>| TargetRecord {
+    let with_limit = |revision, per_s: Option<f64>| TargetRecord {
         limit: AdvertisedLimit {
             revision,
             rate: per_s.map(RequestRate::per_s),
         },
         ..record(1, 1_000)
     };
-    let words = [
-        word(1, Some(2.0)),
-        word(2, None),
-        word(2, Some(3.0)),
-        word(2, Some(1.5)),
+    let records = [
+        with_limit(1, Some(2.0)),
+        with_limit(2, None),
+        with_limit(2, Some(3.0)),
+        with_limit(2, Some(1.5)),
     ];
-    for first in 0..words.len() {
-        let mut directory = knows_it();
-        for at in 0..words.len() {
-            let heard = words[(first + at) % words.len()].clone();
-            directory.merge_target(Millis(100 + at as u64), heard, 0);
+    for first in 0..records.len() {
+        let mut directory = directory_with_target();
+        for at in 0..records.len() {
+            let received = records[(first + at) % records.len()].clone();
+            directory.merge_target(Millis(100 + at as u64), received, 0);
         }
         let known = limit(&directory);
         assert_eq!((known.revision, known.rate), (2, rate(1.5)), "{first}");
@@ -120,16 +124,16 @@
 
 #[test]
 fn a_limit_that_changed_is_news_for_others() {
-    let mut directory = knows_it();
+    let mut directory = directory_with_target();
     let before = directory.position();
-    name(&mut directory, 100, 90, rate(2.0));
+    advertise(&mut directory, 100, 90, rate(2.0));
     assert!(directory.position() > before);
-    let told = directory.target(&id()).unwrap().record.clone();
-    let mut other = knows_it();
-    let change = other.merge_target(Millis(500), told.clone(), 0);
+    let forwarded = directory.target(&id()).unwrap().record.clone();
+    let mut other = directory_with_target();
+    let change = other.merge_target(Millis(500), forwarded.clone(), 0);
     assert_eq!(change, TargetChange::Changed);
     assert_eq!(
-        other.merge_target(Millis(600), told, 0),
+        other.merge_target(Millis(600), forwarded, 0),
         TargetChange::Renewed
     );
     assert_eq!(limit(&other).rate, rate(2.0));
--- a/crates/moleroad_directory/tests/news.rs
+++ b/crates/moleroad_directory/tests/news.rs
@@ -1,11 +1,11 @@
-//! What one daemon tells another of what changed.
+//! Tests of transferring directory changes between daemons.
 
-use moleroad_directory::news::MAX_RECORDS;
+use moleroad_directory::delta::MAX_RECORDS;
 use moleroad_directory::prelude::*;
 use moleroad_types::prelude::*;
 use std::net::SocketAddr;
 
-/// Of the daemon that answers.
+/// Incarnation of the daemon that answers.
 const INCARNATION: u64 = 7;
 const HALL: &str = "h1";
 
@@ -31,48 +31,48 @@
     )
 }
 
-/// The asker's side of a conversation with one directory.
-struct Asker {
+/// The caller's side of exchanges with one directory.
+struct Caller {
     name: InstanceId,
     directory: Directory,
-    known: KnownSlots,
+    known: SlotTable,
     cursor: Cursor,
 }
 
-impl Asker {
+impl Caller {
     fn new(name: &str) -> Self {
         Self {
             name: InstanceId::new(name),
             directory: Directory::new(),
-            known: KnownSlots::default(),
+            known: SlotTable::default(),
             cursor: Cursor::default(),
         }
     }
 
-    fn ask(&mut self, now: u64, callee: &Directory, question: DeltaRequest) -> News {
-        let question = DeltaRequest {
+    fn request(&mut self, now: u64, callee: &Directory, request: DeltaRequest) -> News {
+        let request = DeltaRequest {
             after: self.cursor,
-            ..question
+            ..request
         };
-        let news = callee.news(Millis(now), INCARNATION, HALL, &self.name, question);
-        self.cursor = news.cursor;
-        news
+        let delta = callee.news(Millis(now), INCARNATION, HALL, &self.name, request);
+        self.cursor = delta.cursor;
+        delta
     }
 
-    fn hear(&mut self, now: u64, callee: &Directory, question: DeltaRequest) -> DeltaOutcome {
-        let news = self.ask(now, callee, question);
-        self.take(now, news)
+    fn pull(&mut self, now: u64, callee: &Directory, request: DeltaRequest) -> DeltaOutcome {
+        let delta = self.request(now, callee, request);
+        self.apply(now, delta)
     }
 
-    fn take(&mut self, now: u64, news: News) -> DeltaOutcome {
+    fn apply(&mut self, now: u64, delta: News) -> DeltaOutcome {
         let name = self.name.clone();
         self.directory
-            .apply_delta(Millis(now), &name, news, &mut self.known)
+            .apply_delta(Millis(now), &name, delta, &mut self.known)
     }
 
-    fn heard_at(&self, instance: &str) -> Option<u64> {
-        let heard = self.directory.daemon(&InstanceId::new(instance))?;
-        Some(heard.at.0)
+    fn last_seen(&self, instance: &str) -> Option<u64> {
+        let observed = self.directory.daemon(&InstanceId::new(instance))?;
+        Some(observed.at.0)
     }
 }
 
@@ -91,7 +91,7 @@
     }
 }
 
-fn many(daemons: u16, targets: u16) -> Directory {
+fn directory_of(daemons: u16, targets: u16) -> Directory {
     let mut directory = Directory::new();
     for number in 0..daemons {
         directory.merge_daemon(Millis(0), daemon(number, HALL), 0);
@@ -104,54 +104,54 @@
 
 #[test]
 fn what_is_too_much_for_one_answer_comes_in_several() {
-    let mut callee = many(300, 250);
-    let mut asker = Asker::new("asker");
+    let mut callee = directory_of(300, 250);
+    let mut caller = Caller::new("asker");
     let mut answers = 0;
     loop {
-        let news = asker.ask(1, &callee, all(true));
-        assert!(news.daemons.len() + news.targets.len() <= MAX_RECORDS);
-        // Signs of life are of daemons that were told of.
-        assert_eq!(news.ages.is_some(), !news.has_more);
+        let delta = caller.request(1, &callee, all(true));
+        assert!(delta.daemons.len() + delta.targets.len() <= MAX_RECORDS);
+        // Ages are sent only after all daemon records were.
+        assert_eq!(delta.ages.is_some(), !delta.has_more);
         answers += 1;
-        // What changes meanwhile is not missed.
+        // Changes made between the answers are not lost.
         let changed = DaemonRecord {
             sequence: 1 + answers,
             state: DaemonState::Leaving,
             ..daemon(answers as u16, HALL)
         };
         callee.merge_daemon(Millis(1), changed, 0);
-        let is_last = !news.has_more;
-        assert!(asker.take(1, news).is_complete);
+        let is_last = !delta.has_more;
+        assert!(caller.apply(1, delta).is_complete);
         if is_last {
             break;
         }
     }
     assert_eq!(answers, 3);
-    asker.hear(2, &callee, all(true));
-    for heard in callee.daemons() {
-        let known = asker.directory.daemon(&heard.record.instance).unwrap();
-        assert_eq!(known.record, heard.record);
+    caller.pull(2, &callee, all(true));
+    for observed in callee.daemons() {
+        let known = caller.directory.daemon(&observed.record.instance).unwrap();
+        assert_eq!(known.record, observed.record);
     }
-    assert_eq!(asker.directory.targets().count(), 250);
-    assert_eq!(asker.ask(3, &callee, all(false)).daemons, []);
+    assert_eq!(caller.directory.targets().count(), 250);
+    assert_eq!(caller.request(3, &callee, all(false)).daemons, []);
 }
 
 #[test]
 fn a_load_that_changes_between_two_parts_of_an_answer_is_told() {
-    let mut callee = many(300, 0);
-    let mut asker = Asker::new("asker");
-    asker.hear(1, &callee, all(false));
+    let mut callee = directory_of(300, 0);
+    let mut caller = Caller::new("asker");
+    caller.pull(1, &callee, all(false));
     for number in [5, 295] {
         let mut busy = daemon(number, HALL);
         busy.sequence = 2;
         busy.report.as_mut().unwrap().running = 3;
         callee.merge_daemon(Millis(1), busy, 0);
     }
-    let taken = asker.hear(2, &callee, all(false));
-    assert!(taken.is_complete);
+    let outcome = caller.pull(2, &callee, all(false));
+    assert!(outcome.is_complete);
     for number in [5, 295] {
         let instance = daemon(number, HALL).instance;
-        let known = asker.directory.daemon(&instance).unwrap();
+        let known = caller.directory.daemon(&instance).unwrap();
         assert_eq!(known.record.report.as_ref().unwrap().running, 3);
     }
 }
@@ -162,11 +162,11 @@
         relays_suffice: true,
         ..all(true)
     };
-    let small = many(100, 50);
-    let mut asker = Asker::new("asker");
-    assert_eq!(asker.ask(1, &small, first).daemons.len(), 100);
+    let small = directory_of(100, 50);
+    let mut caller = Caller::new("asker");
+    assert_eq!(caller.request(1, &small, first).daemons.len(), 100);
 
-    let mut large = many(300, 250);
+    let mut large = directory_of(300, 250);
     for number in 300..320 {
         let entry = DaemonRecord {
             role: DaemonRole::Entry,
@@ -174,97 +174,101 @@
         };
         large.merge_daemon(Millis(0), entry, 0);
     }
-    let mut asker = Asker::new("asker");
-    let news = asker.ask(1, &large, first);
+    let mut caller = Caller::new("asker");
+    let delta = caller.request(1, &large, first);
     let relays = large.relays(Millis(1), HALL);
-    let named: Vec<&InstanceId> = news
+    let named: Vec<&InstanceId> = delta
         .daemons
         .iter()
         .map(|d| &d.aged.record.instance)
         .collect();
     let expected: Vec<&InstanceId> = relays.iter().map(|relay| &relay.instance).collect();
     assert_eq!(named, expected);
-    assert!(news.targets.is_empty() && !news.is_whole());
-    // Nothing of the rest counts as told.
-    let taken = asker.take(1, news);
-    assert!(taken.is_complete);
-    assert!(asker.ask(2, &large, all(false)).has_more);
+    assert!(delta.targets.is_empty() && !delta.is_whole());
+    // The cursor does not cover the omitted records.
+    let outcome = caller.apply(1, delta);
+    assert!(outcome.is_complete);
+    assert!(caller.request(2, &large, all(false)).has_more);
 }
 
 #[test]
 fn signs_of_life_take_a_byte_for_a_daemon_and_are_never_too_young() {
-    let mut callee = many(180, 0);
-    let mut asker = Asker::new("asker");
-    asker.hear(0, &callee, all(false));
-    let before = asker.heard_at("h1-9");
-    callee.hear_life(Millis(1_020), &RecordVersion::of(&daemon(9, HALL)), 0);
-    let news = asker.ask(1_037, &callee, all(true));
-    let bytes = rmp_serde::to_vec(&news).unwrap().len();
+    let mut callee = directory_of(180, 0);
+    let mut caller = Caller::new("asker");
+    caller.pull(0, &callee, all(false));
+    let before = caller.last_seen("h1-9");
+    callee.refresh_daemon(Millis(1_020), &RecordVersion::of(&daemon(9, HALL)), 0);
+    let delta = caller.request(1_037, &callee, all(true));
+    let bytes = rmp_serde::to_vec(&delta).unwrap().len();
     assert!(bytes < 180 + 40, "{bytes} bytes");
-    assert!(asker.take(1_037, news).is_complete);
-    let after = asker.heard_at("h1-9");
+    assert!(caller.apply(1_037, delta).is_complete);
+    let after = caller.last_seen("h1-9");
     assert!(before < after && after <= Some(1_020), "{after:?}");
-    // Long silence is no sign of life.
-    let news = asker.ask(60_000, &callee, all(true));
-    assert_eq!(news.ages.unwrap().signs().count(), 0);
+    // A daemon that was silent for long has no age in the answer.
+    let delta = caller.request(60_000, &callee, all(true));
+    assert_eq!(delta.ages.unwrap().known_ages().count(), 0);
 }
 
 #[test]
 fn a_number_of_a_daemon_that_was_forgotten_may_stand_for_another_one() {
-    let mut callee = many(2, 0);
-    let mut asker = Asker::new("asker");
-    asker.hear(0, &callee, all(true));
-    callee.hear_life(Millis(59_000), &RecordVersion::of(&daemon(0, HALL)), 0);
+    let mut callee = directory_of(2, 0);
+    let mut caller = Caller::new("asker");
+    caller.pull(0, &callee, all(true));
+    callee.refresh_daemon(Millis(59_000), &RecordVersion::of(&daemon(0, HALL)), 0);
     callee.expire(Millis(61_000));
     callee.merge_daemon(Millis(61_000), daemon(77, HALL), 0);
-    assert!(asker.hear(61_000, &callee, all(true)).is_complete);
-    assert_eq!(asker.heard_at("h1-1"), Some(0), "it is silent");
-    assert_eq!(asker.heard_at("h1-77"), Some(61_000));
+    assert!(caller.pull(61_000, &callee, all(true)).is_complete);
+    assert_eq!(
+        caller.last_seen("h1-1"),
+        Some(0),
+        "it was not heard from again"
+    );
+    assert_eq!(caller.last_seen("h1-77"), Some(61_000));
 }
 
 #[test]
 fn an_asker_that_lacks_a_daemon_says_that_it_must_hear_all_again() {
-    let mut callee = many(2, 0);
-    let mut asker = Asker::new("asker");
-    asker.cursor = Cursor {
+    let mut callee = directory_of(2, 0);
+    let mut caller = Caller::new("asker");
+    caller.cursor = Cursor {
         incarnation: INCARNATION,
         position: callee.position(),
     };
-    callee.hear_life(Millis(10), &RecordVersion::of(&daemon(0, HALL)), 0);
-    assert!(!asker.hear(10, &callee, all(true)).is_complete);
+    callee.refresh_daemon(Millis(10), &RecordVersion::of(&daemon(0, HALL)), 0);
+    assert!(!caller.pull(10, &callee, all(true)).is_complete);
 }
 
 #[test]
 fn numbers_of_a_former_life_of_the_callee_stand_for_nobody() {
-    let callee = many(3, 0);
-    let mut asker = Asker::new("asker");
-    asker.hear(0, &callee, all(true));
-    asker.cursor.incarnation = INCARNATION + 1;
-    let question = DeltaRequest {
+    let callee = directory_of(3, 0);
+    let mut caller = Caller::new("asker");
+    caller.pull(0, &callee, all(true));
+    caller.cursor.incarnation = INCARNATION + 1;
+    let request = DeltaRequest {
         after: Cursor {
             incarnation: INCARNATION + 1,
             position: callee.position(),
         },
         ..all(true)
     };
-    let news = callee.news(Millis(5), INCARNATION + 1, HALL, &asker.name, question);
-    assert!(news.ages.is_some() && news.daemons.is_empty());
-    assert!(!asker.take(5, news).is_complete);
+    let delta = callee.news(Millis(5), INCARNATION + 1, HALL, &caller.name, request);
+    assert!(delta.ages.is_some() && delta.daemons.is_empty());
+    assert!(!caller.apply(5, delta).is_complete);
 }
 
 #[test]
 fn a_daemon_that_calls_again_after_a_while_is_told_to_other_halls_anew() {
-    let mut callee = many(3, 0);
+    let mut callee = directory_of(3, 0);
     let guest = daemon(50, "h2");
     callee.merge_daemon(Millis(0), guest.clone(), 0);
-    let mut asker = Asker::new("asker");
-    asker.hear(0, &callee, of_hall(true));
-    assert_eq!(asker.heard_at("h2-50"), None, "it called nobody here");
-    callee.hear_life(Millis(10_000), &RecordVersion::of(&guest), 0);
+    let mut caller = Caller::new("asker");
+    caller.pull(0, &callee, of_hall(true));
+    assert_eq!(caller.last_seen("h2-50"), None, "it made no direct call");
+    callee.refresh_daemon(Millis(10_000), &RecordVersion::of(&guest), 0);
     callee.record_direct_contact(Millis(10_000), &guest.instance);
-    let taken = asker.hear(10_100, &callee, of_hall(true));
-    assert!(taken.is_complete);
-    assert_eq!(asker.heard_at("h2-50"), Some(10_000));
+    let outcome = caller.pull(10_100, &callee, of_hall(true));
+    assert!(outcome.is_complete);
+    assert_eq!(caller.last_seen("h2-50"), Some(10_000));
 }
 
 #[test]
@@ -273,20 +277,20 @@
         interest: Interest::Weights,
         ..all(false)
     };
-    let mut callee = many(100, 90);
-    let mut asker = Asker::new("h1-4");
-    let news = asker.ask(1, &callee, weights);
-    assert_eq!(news.targets.len(), 1);
-    assert_eq!(news.targets[0].record.id, TargetId::new("i-4"));
-    assert_eq!(news.daemons.len(), 99, "the others may give it pieces");
-    asker.take(1, news);
+    let mut callee = directory_of(100, 90);
+    let mut caller = Caller::new("h1-4");
+    let delta = caller.request(1, &callee, weights);
+    assert_eq!(delta.targets.len(), 1);
+    assert_eq!(delta.targets[0].record.id, TargetId::new("i-4"));
+    assert_eq!(delta.daemons.len(), 99, "the others may serve pieces to it");
+    caller.apply(1, delta);
     let mut busy = daemon(9, HALL);
     busy.sequence = 2;
     busy.report.as_mut().unwrap().running = 3;
     callee.merge_daemon(Millis(2), busy, 0);
-    let news = asker.ask(2, &callee, weights);
-    assert!(news.loads.is_empty() && news.daemons.is_empty());
-    // One that is not known here may have any engine.
-    let mut stranger = Asker::new("stranger");
-    assert_eq!(stranger.ask(3, &callee, weights).targets.len(), 90);
+    let delta = caller.request(2, &callee, weights);
+    assert!(delta.loads.is_empty() && delta.daemons.is_empty());
+    // Any target may be the engine of a caller that the callee does not know.
+    let mut stranger = Caller::new("stranger");
+    assert_eq!(stranger.request(3, &callee, weights).targets.len(), 90);
 }
--- a/crates/moleroad_directory/tests/relays.rs
+++ b/crates/moleroad_directory/tests/relays.rs
@@ -1,5 +1,5 @@
-//! What daemons of a data hall tell their relays reaches every daemon, and
-//! only differences are told.
+//! Tests that records given to the relays reach every daemon, and that only
+//! differences are transferred.
 
 use moleroad_directory::prelude::*;
 use moleroad_types::prelude::*;
@@ -28,15 +28,15 @@
 
 const RELAY: u64 = 7;
 
-fn asker() -> InstanceId {
+fn caller() -> InstanceId {
     InstanceId::new("asker")
 }
 
-fn news(directory: &Directory, at: u64, question: DeltaRequest) -> News {
-    directory.news(Millis(at), RELAY, "h1", &asker(), question)
+fn delta(directory: &Directory, at: u64, request: DeltaRequest) -> News {
+    directory.news(Millis(at), RELAY, "h1", &caller(), request)
 }
 
-/// A directory with two entries and one agent in each of two data halls.
+/// Returns a directory with two entries and one agent in each of two data halls.
 fn two_halls() -> Directory {
     let mut directory = Directory::new();
     for (at, hall) in ["h1", "h2"].into_iter().enumerate() {
@@ -55,9 +55,9 @@
 #[test]
 fn who_asks_again_gets_only_what_changed() {
     let mut directory = two_halls();
-    let first = news(&directory, 1, all_since(Cursor::default()));
+    let first = delta(&directory, 1, all_since(Cursor::default()));
     assert_eq!(first.daemons.len(), 6);
-    let second = news(&directory, 2, all_since(first.cursor));
+    let second = delta(&directory, 2, all_since(first.cursor));
     assert!(second.daemons.is_empty() && second.loads.is_empty());
 
     let mut busy = agent("h1-agent", "h1", 5);
@@ -67,17 +67,17 @@
         ..EngineReport::default()
     });
     assert!(directory.merge_daemon(Millis(3), busy.clone(), 0));
-    let third = news(&directory, 4, all_since(second.cursor));
+    let third = delta(&directory, 4, all_since(second.cursor));
     assert!(third.daemons.is_empty());
     assert_eq!(third.loads.len(), 1);
 
-    // The news bring another directory to the same record.
+    // The deltas bring another directory to the same record.
     let mut other = Directory::new();
-    let mut slots = KnownSlots::default();
-    for news in [first, third] {
-        let taken = other.apply_delta(Millis(5), &asker(), news, &mut slots);
-        assert!(taken.is_complete);
-        assert!(taken.loads.contains(&busy.instance));
+    let mut slots = SlotTable::default();
+    for delta in [first, third] {
+        let outcome = other.apply_delta(Millis(5), &caller(), delta, &mut slots);
+        assert!(outcome.is_complete);
+        assert!(outcome.loads.contains(&busy.instance));
     }
     let known = other.daemon(&busy.instance).unwrap();
     assert_eq!(known.record, busy);
@@ -86,12 +86,12 @@
 #[test]
 fn a_relay_that_restarted_tells_all_again() {
     let directory = two_halls();
-    let first = news(&directory, 1, all_since(Cursor::default()));
+    let first = delta(&directory, 1, all_since(Cursor::default()));
     let restarted = directory.news(
         Millis(2),
         RELAY + 1,
         "h1",
-        &asker(),
+        &caller(),
         all_since(first.cursor),
     );
     assert_eq!(restarted.daemons.len(), 6);
@@ -100,21 +100,21 @@
 #[test]
 fn another_hall_is_told_of_this_hall_and_of_who_calls_here() {
     let mut directory = two_halls();
-    let question = DeltaRequest {
+    let request = DeltaRequest {
         scope: Scope::CalleesHall,
         ..all_since(Cursor::default())
     };
-    assert_eq!(news(&directory, 1, question).daemons.len(), 3);
+    assert_eq!(delta(&directory, 1, request).daemons.len(), 3);
     directory.record_direct_contact(Millis(1), &InstanceId::new("h2-agent"));
-    assert_eq!(news(&directory, 2, question).daemons.len(), 4);
-    // Not for ever: by then it calls a relay of its own hall.
-    assert_eq!(news(&directory, 5_000, question).daemons.len(), 3);
+    assert_eq!(delta(&directory, 2, request).daemons.len(), 4);
+    // Only temporarily: by then the daemon calls a relay of its own hall.
+    assert_eq!(delta(&directory, 5_000, request).daemons.len(), 3);
 }
 
 #[test]
 fn an_entry_that_wants_no_pieces_is_not_told_of_them() {
     let mut directory = two_halls();
-    let first = news(&directory, 1, all_since(Cursor::default()));
+    let first = delta(&directory, 1, all_since(Cursor::default()));
     let mut fetching = agent("h1-agent", "h1", 5);
     fetching.sequence = 2;
     fetching.pieces[0].set(3, true);
@@ -123,8 +123,8 @@
         pieces: false,
         ..all_since(first.cursor)
     };
-    assert!(news(&directory, 3, without).daemons.is_empty());
-    let with = news(&directory, 3, all_since(first.cursor));
+    assert!(delta(&directory, 3, without).daemons.is_empty());
+    let with = delta(&directory, 3, all_since(first.cursor));
     assert_eq!(with.daemons[0].aged.record, fetching);
 }
 
@@ -142,26 +142,26 @@
 fn signs_of_life_keep_daemons_from_falling_silent() {
     let mut relay = two_halls();
     let mut entry = Directory::new();
-    let mut slots = KnownSlots::default();
-    let first = news(&relay, 1, all_since(Cursor::default()));
-    entry.apply_delta(Millis(1), &asker(), first, &mut slots);
+    let mut slots = SlotTable::default();
+    let first = delta(&relay, 1, all_since(Cursor::default()));
+    entry.apply_delta(Millis(1), &caller(), first, &mut slots);
     for at in [1_000, 2_000, 3_000, 4_000] {
         let now = Millis(at);
-        let heard: Vec<DaemonRecord> = relay.daemons().map(|d| d.record.clone()).collect();
-        for record in heard {
+        let observed: Vec<DaemonRecord> = relay.daemons().map(|d| d.record.clone()).collect();
+        for record in observed {
             relay.merge_daemon(now, record, 0);
         }
-        let question = DeltaRequest {
+        let request = DeltaRequest {
             lives: true,
             ..all_since(Cursor {
                 incarnation: RELAY,
                 position: relay.position(),
             })
         };
-        let news = news(&relay, at + 100, question);
-        assert!(news.daemons.is_empty());
-        let taken = entry.apply_delta(Millis(at + 100), &asker(), news, &mut slots);
-        assert!(taken.is_complete);
+        let delta = delta(&relay, at + 100, request);
+        assert!(delta.daemons.is_empty());
+        let outcome = entry.apply_delta(Millis(at + 100), &caller(), delta, &mut slots);
+        assert!(outcome.is_complete);
     }
     assert_eq!(entry.ready_entries(Millis(4_500)).count(), 4);
     let unknown = RecordVersion {
@@ -169,7 +169,7 @@
         incarnation: 1,
         sequence: 1,
     };
-    assert!(!entry.hear_life(Millis(5_000), &unknown, 0));
+    assert!(!entry.refresh_daemon(Millis(5_000), &unknown, 0));
 }
 
 #[test]
@@ -180,24 +180,24 @@
         ..TargetRecord::new(TargetId::new("t"), "chat", "127.0.0.1:1".parse().unwrap())
     };
     directory.merge_target(Millis(0), record(1), 0);
-    let first = news(&directory, 1, all_since(Cursor::default()));
+    let first = delta(&directory, 1, all_since(Cursor::default()));
     assert_eq!(first.targets.len(), 1);
     directory.merge_target(Millis(1_200), record(2), 0);
     assert!(
-        news(&directory, 1_201, all_since(first.cursor))
+        delta(&directory, 1_201, all_since(first.cursor))
             .targets
             .is_empty()
     );
     directory.merge_target(Millis(12_000), record(3), 0);
     assert_eq!(
-        news(&directory, 12_001, all_since(first.cursor))
+        delta(&directory, 12_001, all_since(first.cursor))
             .targets
             .len(),
         1
     );
-    let second = news(&directory, 12_002, all_since(first.cursor));
+    let second = delta(&directory, 12_002, all_since(first.cursor));
     directory.target_gone(Millis(12_003), &TargetId::new("t"));
-    let third = news(&directory, 12_004, all_since(second.cursor));
+    let third = delta(&directory, 12_004, all_since(second.cursor));
     assert_eq!(third.targets[0].record.life, TargetLifecycle::Gone);
 }
 
@@ -214,10 +214,10 @@
     };
     let first = names(&directory, 1);
     assert_eq!(first.len(), 3);
-    // All but the first relay are heard again.
+    // All daemons except the first relay are heard from again.
     let others: Vec<DaemonRecord> = directory
         .daemons()
-        .map(|heard| heard.record.clone())
+        .map(|observed| observed.record.clone())
         .filter(|record| record.instance.to_string() != first[0])
         .collect();
     for record in others {
--- a/crates/moleroad_membership/src/fan_out.rs
+++ b/crates/moleroad_membership/src/fan_out.rs
@@ -1,34 +1,34 @@
-//! How one daemon tells many others at once.
+//! Distribution of a message from one daemon to many.
 //!
-//! A daemon that called each of some hundreds itself would need its whole link and
-//! processor for a while. Instead it calls a few, and each of these passes the word
-//! on to a few, so that nobody makes more calls than about the square root of the
-//! number of those told.
+//! Calling several hundred daemons directly would occupy the caller's whole link and
+//! processor for a while. Instead, the message spreads over a tree of two levels, in
+//! which no daemon makes more calls than about the square root of the number of
+//! recipients.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Most daemons that one tells by itself, without others passing on.
-const MOST_DIRECT: usize = 32;
+/// Maximum number of recipients that are all called directly.
+const MAX_DIRECT_CALLS: usize = 32;
 
-/// A daemon to call, and those to whom it passes on what it is told.
+/// A daemon to call, and the recipients that it forwards the message to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Branch {
     /// The daemon to call.
     pub head: SocketAddr,
-    /// Daemons of the same data hall that it tells.
+    /// Recipients in the same data hall that the head calls.
     pub rest: Vec<SocketAddr>,
 }
 
-/// Who tells whom, of daemons with their data halls; each is told once, and a word
-/// crosses to another hall once for each branch there.
+/// Groups daemons, given with their data halls, into branches. Each daemon is in one
+/// branch, and a message crosses to another hall once per branch there.
 pub fn fan_out(daemons: impl IntoIterator<Item = (String, SocketAddr)>) -> Vec<Branch> {
     let mut halls: BTreeMap<String, Vec<SocketAddr>> = BTreeMap::new();
     for (hall, address) in daemons {
         halls.entry(hall).or_default().push(address);
     }
     let count: usize = halls.values().map(Vec::len).sum();
-    let size = if count <= MOST_DIRECT {
+    let size = if count <= MAX_DIRECT_CALLS {
         1
     } else {
         count.isqrt().max(1)
--- a/crates/moleroad_membership/tests/contacts.rs
+++ b/crates/moleroad_membership/tests/contacts.rs
@@ -1,4 +1,4 @@
-//! Whom a daemon greets, from what it knows.
+//! Tests of the choice of contacts from the directory.
 
 use moleroad_directory::prelude::*;
 use moleroad_membership::prelude::{Contact, ContactPlanner};
@@ -19,7 +19,7 @@
     }
 }
 
-/// Three halls with eight entries and twenty agents each.
+/// Returns a directory of three halls with eight entries and twenty agents each.
 fn three_halls() -> Directory {
     let mut directory = Directory::new();
     for (hall, first) in [("a", 100), ("b", 200), ("c", 300)] {
@@ -37,7 +37,7 @@
 
 fn contacts(directory: &Directory, own: &DaemonRecord, resting: &[SocketAddr]) -> Vec<Contact> {
     let resting: HashSet<SocketAddr> = resting.iter().copied().collect();
-    let standing = ContactPlanner {
+    let planner = ContactPlanner {
         now: Millis(1),
         directory,
         own,
@@ -48,12 +48,12 @@
         is_young: false,
         is_lost: false,
     };
-    standing.contacts()
+    planner.contacts()
 }
 
-fn asked(contacts: &[Contact]) -> Vec<&Contact> {
-    let asked = contacts.iter().filter(|c| c.scope != Scope::Nothing);
-    asked.collect()
+fn pulled(contacts: &[Contact]) -> Vec<&Contact> {
+    let pulled = contacts.iter().filter(|c| c.scope != Scope::Nothing);
+    pulled.collect()
 }
 
 fn relays_of(directory: &Directory, hall: &str) -> Vec<DaemonRecord> {
@@ -61,44 +61,47 @@
     relays.cloned().collect()
 }
 
-/// The halls other than `a` that a relay asks, by its contacts.
-fn far_halls(contacts: &[Contact]) -> Vec<u16> {
-    let far = contacts.iter().filter(|c| c.scope == Scope::CalleesHall);
-    far.map(|contact| contact.address.port() / 100).collect()
+/// Returns the halls other than `a` that a relay queries, from its contacts.
+fn remote_halls(contacts: &[Contact]) -> Vec<u16> {
+    let remote = contacts.iter().filter(|c| c.scope == Scope::CalleesHall);
+    remote.map(|contact| contact.address.port() / 100).collect()
 }
 
 #[test]
 fn an_entry_greets_its_relay_and_one_relay_of_a_hall_asks_each_other_hall() {
     let directory = three_halls();
     let relays = relays_of(&directory, "a");
-    let mut asked_halls = Vec::new();
+    let mut queried_halls = Vec::new();
     for number in 100..108 {
         let own = daemon(number, "a", DaemonRole::Entry);
         let contacts = contacts(&directory, &own, &[]);
         if relays.iter().any(|relay| relay.peer == own.peer) {
-            let fellows = contacts.iter().filter(|c| c.scope == Scope::All);
-            assert_eq!(fellows.count(), 2);
-            asked_halls.extend(far_halls(&contacts));
+            let other_relays = contacts.iter().filter(|c| c.scope == Scope::All);
+            assert_eq!(other_relays.count(), 2);
+            queried_halls.extend(remote_halls(&contacts));
         } else {
             assert_eq!(contacts.len(), 1);
             assert!(relays.iter().any(|relay| relay.peer == contacts[0].address));
             assert_eq!(contacts[0].scope, Scope::All);
         }
     }
-    asked_halls.sort();
-    assert_eq!(asked_halls, [2, 3]);
+    queried_halls.sort();
+    assert_eq!(queried_halls, [2, 3]);
 }
 
 #[test]
 fn a_hall_is_asked_by_another_relay_when_the_one_whose_turn_it_is_does_not_answer() {
     let directory = three_halls();
     let relays = relays_of(&directory, "a");
-    let asks = |relay: &DaemonRecord, resting: &[SocketAddr]| {
-        far_halls(&contacts(&directory, relay, resting)).contains(&2)
+    let queries = |relay: &DaemonRecord, resting: &[SocketAddr]| {
+        remote_halls(&contacts(&directory, relay, resting)).contains(&2)
     };
-    let first = relays.iter().find(|relay| asks(relay, &[])).unwrap();
+    let first = relays.iter().find(|relay| queries(relay, &[])).unwrap();
     let others = relays.iter().filter(|relay| relay.peer != first.peer);
-    assert_eq!(others.filter(|relay| asks(relay, &[first.peer])).count(), 1);
+    assert_eq!(
+        others.filter(|relay| queries(relay, &[first.peer])).count(),
+        1
+    );
 }
 
 #[test]
@@ -106,15 +109,15 @@
     let mut directory = three_halls();
     for number in 100..128 {
         let own = daemon(number, "a", DaemonRole::Entry);
-        directory.hear_life(Millis(1_600), &RecordVersion::of(&own), 0);
+        directory.refresh_daemon(Millis(1_600), &RecordVersion::of(&own), 0);
     }
     for number in 300..328 {
-        let far = daemon(number, "c", DaemonRole::Entry);
-        directory.hear_life(Millis(1_600), &RecordVersion::of(&far), 0);
+        let remote = daemon(number, "c", DaemonRole::Entry);
+        directory.refresh_daemon(Millis(1_600), &RecordVersion::of(&remote), 0);
     }
-    let mut asked = Vec::new();
+    let mut queried_halls = Vec::new();
     for relay in relays_of(&directory, "a") {
-        let standing = ContactPlanner {
+        let planner = ContactPlanner {
             now: Millis(1_600),
             directory: &directory,
             own: &relay,
@@ -125,10 +128,10 @@
             is_young: false,
             is_lost: false,
         };
-        asked.extend(far_halls(&standing.contacts()));
+        queried_halls.extend(remote_halls(&planner.contacts()));
     }
-    asked.sort();
-    assert_eq!(asked, [2, 2, 2, 3]);
+    queried_halls.sort();
+    assert_eq!(queried_halls, [2, 2, 2, 3]);
 }
 
 #[test]
@@ -152,7 +155,7 @@
     let own = daemon(101, "a", DaemonRole::Entry);
     let mut directory = Directory::new();
     directory.merge_daemon(Millis(0), own.clone(), 0);
-    let standing = ContactPlanner {
+    let planner = ContactPlanner {
         now: Millis(1),
         directory: &directory,
         own: &own,
@@ -163,16 +166,16 @@
         is_young: true,
         is_lost: true,
     };
-    let contacts = standing.contacts();
+    let contacts = planner.contacts();
     assert_eq!(contacts.len(), 2);
     assert!(contacts.iter().all(|contact| contact.relays_suffice));
-    // One that was answered, and is a relay as far as it knows, asks a seed for
-    // all while it is young.
-    let standing = ContactPlanner {
+    // A daemon that was answered and considers itself a relay queries a seed for all
+    // records while it is starting up.
+    let planner = ContactPlanner {
         is_lost: false,
-        ..standing
+        ..planner
     };
-    let contacts = standing.contacts();
+    let contacts = planner.contacts();
     assert!(contacts.iter().any(|contact| contact.scope == Scope::All));
     assert!(contacts.iter().all(|contact| !contact.relays_suffice));
 }
@@ -185,16 +188,16 @@
     own.sequence = 2;
     own.report.as_mut().unwrap().running = 3;
     directory.merge_daemon(Millis(1), own.clone(), 0);
-    let with_news = |contacts: &[Contact]| {
-        let news = contacts.iter().filter(|c| c.changed_at > position);
-        news.map(|contact| contact.scope).collect::<Vec<_>>()
+    let with_changes = |contacts: &[Contact]| {
+        let changed = contacts.iter().filter(|c| c.changed_position > position);
+        changed.map(|contact| contact.scope).collect::<Vec<_>>()
     };
-    assert_eq!(with_news(&contacts(&directory, &own, &[])), [Scope::All]);
-    // That a change of weights is due, all of them are told at once.
+    assert_eq!(with_changes(&contacts(&directory, &own, &[])), [Scope::All]);
+    // A due change of weights is sent to all relays immediately.
     own.sequence = 3;
     own.report.as_mut().unwrap().switching = true;
     directory.merge_daemon(Millis(1), own.clone(), 0);
-    assert_eq!(with_news(&contacts(&directory, &own, &[])).len(), 3);
+    assert_eq!(with_changes(&contacts(&directory, &own, &[])).len(), 3);
 }
 
 #[test]
@@ -216,14 +219,14 @@
     let directory = three_halls();
     let own = daemon(110, "a", DaemonRole::Agent);
     let contacts = contacts(&directory, &own, &[]);
-    assert_eq!(asked(&contacts).len(), 1);
-    // The three relays of its hall; other agents get offers of pieces.
-    let mut greeted: Vec<SocketAddr> = contacts.iter().map(|c| c.address).collect();
+    assert_eq!(pulled(&contacts).len(), 1);
+    // The three relays of its hall; other agents only receive offers of pieces.
+    let mut peers: Vec<SocketAddr> = contacts.iter().map(|c| c.address).collect();
     let relays = directory.relays(Millis(1), "a").into_iter();
     let mut relays: Vec<SocketAddr> = relays.map(|relay| relay.peer).collect();
-    greeted.sort();
+    peers.sort();
     relays.sort();
-    assert_eq!(greeted, relays);
+    assert_eq!(peers, relays);
 }
 
 #[test]
@@ -239,15 +242,15 @@
     let contacts = contacts(&directory, &member(150, "a"), &[]);
     let relays = directory.relays(Millis(1), "a");
     assert!(relays.iter().all(|relay| relay.role == DaemonRole::Entry));
-    let asked = asked(&contacts);
-    assert_eq!(asked.len(), 1);
-    assert!(relays.iter().any(|relay| relay.peer == asked[0].address));
-    let told: Vec<SocketAddr> = contacts
+    let pulled = pulled(&contacts);
+    assert_eq!(pulled.len(), 1);
+    assert!(relays.iter().any(|relay| relay.peer == pulled[0].address));
+    let pushed: Vec<SocketAddr> = contacts
         .iter()
         .filter(|contact| contact.scope == Scope::Nothing)
         .map(|contact| contact.address)
         .collect();
-    assert_eq!(told, [peer(151), peer(250), peer(350)]);
+    assert_eq!(pushed, [peer(151), peer(250), peer(350)]);
 }
 
 #[test]
@@ -255,7 +258,7 @@
     let directory = three_halls();
     let own = daemon(400, "d", DaemonRole::Control);
     let contacts = contacts(&directory, &own, &[]);
-    assert_eq!(asked(&contacts).len(), 1);
+    assert_eq!(pulled(&contacts).len(), 1);
 }
 
 #[test]
@@ -268,15 +271,15 @@
     directory.merge_daemon(Millis(0), own.clone(), 0);
     let contacts = contacts(&directory, &own, &[]);
     assert_eq!(contacts.len(), 2);
-    assert_eq!(asked(&contacts).len(), 1);
+    assert_eq!(pulled(&contacts).len(), 1);
 }
 
 #[test]
 fn an_agent_asks_more_often_while_it_fetches() {
     let mut directory = three_halls();
     let mut own = daemon(110, "a", DaemonRole::Agent);
-    let at_rest = contacts(&directory, &own, &[]);
-    let every = |contacts: &[Contact]| asked(contacts)[0].every_ms;
+    let idle = contacts(&directory, &own, &[]);
+    let interval = |contacts: &[Contact]| pulled(contacts)[0].interval_ms;
 
     let mut map = PieceMap::empty("m", 2, 48);
     map.set(5, true);
@@ -284,8 +287,8 @@
     own.sequence = 2;
     directory.merge_daemon(Millis(1), own.clone(), 0);
     let fetching = contacts(&directory, &own, &[]);
-    assert!(every(&fetching) < every(&at_rest));
-    assert_eq!(fetching.len(), at_rest.len());
+    assert!(interval(&fetching) < interval(&idle));
+    assert_eq!(fetching.len(), idle.len());
 
     let holding = Holding {
         model: "m".into(),
@@ -300,5 +303,5 @@
     own.sequence = 3;
     directory.merge_daemon(Millis(1), own.clone(), 0);
     let done = contacts(&directory, &own, &[]);
-    assert_eq!(every(&done), every(&at_rest));
+    assert_eq!(interval(&done), interval(&idle));
 }
--- a/crates/moleroad_membership/tests/fan_out.rs
+++ b/crates/moleroad_membership/tests/fan_out.rs
@@ -1,4 +1,4 @@
-//! Who tells whom when one daemon tells many.
+//! Tests of distributing a message from one daemon to many.
 
 use moleroad_membership::prelude::{Branch, fan_out};
 use std::collections::BTreeSet;
@@ -11,10 +11,10 @@
         .collect()
 }
 
-/// Most calls that one daemon makes.
-fn most_calls(branches: &[Branch]) -> usize {
-    let passed_on = branches.iter().map(|branch| branch.rest.len());
-    passed_on.max().unwrap_or(0).max(branches.len())
+/// Returns the largest number of calls that one daemon makes.
+fn max_calls(branches: &[Branch]) -> usize {
+    let forwarded = branches.iter().map(|branch| branch.rest.len());
+    forwarded.max().unwrap_or(0).max(branches.len())
 }
 
 #[test]
@@ -26,22 +26,22 @@
             found.map(|(hall, _)| hall.clone())
         };
         let branches = fan_out(daemons.clone());
-        let mut told = BTreeSet::new();
+        let mut called = BTreeSet::new();
         for branch in &branches {
             for address in std::iter::once(&branch.head).chain(&branch.rest) {
-                assert!(told.insert(*address), "{address} is told twice");
+                assert!(called.insert(*address), "{address} is called twice");
                 assert_eq!(hall_of(address), hall_of(&branch.head));
             }
         }
-        assert_eq!(told.len(), count);
+        assert_eq!(called.len(), count);
     }
 }
 
 #[test]
 fn nobody_makes_many_more_calls_than_the_root_of_those_told() {
-    assert_eq!(most_calls(&fan_out(daemons(30))), 30);
+    assert_eq!(max_calls(&fan_out(daemons(30))), 30);
     for (count, most) in [(125, 20), (250, 25), (500, 30), (1_000, 40), (2_000, 55)] {
-        let calls = most_calls(&fan_out(daemons(count)));
+        let calls = max_calls(&fan_out(daemons(count)));
         assert!(calls <= most, "{calls} calls for {count} daemons");
     }
 }
--- a/crates/moleroad_membership/tests/support/mod.rs
+++ b/crates/moleroad_membership/tests/support/mod.rs
@@ -1,7 +1,7 @@
-//! A fleet of daemons that greet each other in virtual time, without a network.
+//! A simulated fleet of daemons that gossip in virtual time, without a network.
 //!
-//! Each daemon has a link that sends at a rate, so that answers wait for each
-//! other, and gives up on an answer that comes too late, as the daemon does.
+//! Each daemon has a link with a limited rate, so that answers queue, and gives up on
+//! late answers as a real daemon does.
 
 mod records;
 
@@ -16,77 +16,77 @@
 use std::collections::{BinaryHeap, HashMap};
 use std::net::SocketAddr;
 
-/// Daemons that all others begin with.
+/// Number of seeds.
 const SEEDS: usize = 3;
-/// Time between looks at whom to greet, in milliseconds.
-const LOOK_MS: u64 = 50;
-/// Time for an answer, in milliseconds.
-const ANSWER_MS: u64 = 700;
-/// Time from the start in which a daemon counts as young, in milliseconds.
-const YOUNG_MS: u64 = 3_000;
-/// Way within a data hall, and from one to another, in microseconds.
-const WAY_US: u64 = 100;
-const FAR_WAY_US: u64 = 1_800;
-/// Rate of a link, in bytes a second: 40 Mbit/s.
-const LINK: u64 = 5_000_000;
-/// Rate of the links of seeds, in bytes a second: 300 Mbit/s.
-const SEED_LINK: u64 = 37_500_000;
-/// Head of a message, in bytes.
-const HEAD: u64 = 60;
-/// Time between changes of an engine's load, in milliseconds.
-const LOAD_CHANGES_MS: u64 = 300;
-/// Share of the time in which an entry has requests.
-const BUSY: f64 = 0.3;
+/// Interval at which a daemon checks for due contacts, in milliseconds.
+const TICK_MS: u64 = 50;
+/// Timeout of an exchange, in milliseconds.
+const TIMEOUT_MS: u64 = 700;
+/// Time after the start during which a daemon counts as starting up, in milliseconds.
+const STARTUP_MS: u64 = 3_000;
+/// Latency within a data hall and between halls, in microseconds.
+const LATENCY_US: u64 = 100;
+const REMOTE_LATENCY_US: u64 = 1_800;
+/// Rate of a link, in bytes per second: 40 Mbit/s.
+const LINK_BYTES_PER_S: u64 = 5_000_000;
+/// Rate of the links of seeds, in bytes per second: 300 Mbit/s.
+const SEED_LINK_BYTES_PER_S: u64 = 37_500_000;
+/// Size of a message header, in bytes.
+const HEADER_BYTES: u64 = 60;
+/// Mean interval between changes of an engine's load, in milliseconds.
+const LOAD_CHANGE_INTERVAL_MS: u64 = 300;
+/// Probability that an entry has requests.
+const BUSY_PROBABILITY: f64 = 0.3;
 
-/// What one daemon did.
+/// Traffic of one daemon.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Traffic {
     /// Bytes sent.
     pub sent: u64,
     /// Bytes received.
     pub received: u64,
-    /// Questions and words that were answered.
+    /// Exchanges answered.
     pub answered: u64,
-    /// Answers that came too late.
-    pub late: u64,
-    /// Most bytes that waited for the link at once.
-    pub most_waiting: u64,
+    /// Answers received after the timeout.
+    pub timeouts: u64,
+    /// Largest number of bytes queued for the link.
+    pub max_queued: u64,
 }
 
 struct Daemon {
     own: DaemonRecord,
     directory: Directory,
-    greeted: GossipState,
-    link: u64,
+    gossip: GossipState,
+    link_rate: u64,
     link_free_us: u64,
     is_busy: bool,
     traffic: Traffic,
 }
 
-struct Greeting {
+struct Exchange {
     from: usize,
     to: usize,
     contact: Contact,
     before: PeerState,
     next: PeerState,
-    asked_at_us: u64,
+    sent_at_us: u64,
 }
 
 enum Event {
-    Look(usize),
-    Asked(Box<(Greeting, CallerUpdate, DeltaRequest)>),
-    Answered(Box<(Greeting, Answered, News)>),
-    Late(Box<Greeting>),
+    Tick(usize),
+    Request(Box<(Exchange, CallerUpdate, DeltaRequest)>),
+    Reply(Box<(Exchange, Answered, News)>),
+    Timeout(Box<Exchange>),
 }
 
-/// Daemons that greet each other.
+/// Simulated daemons that gossip with each other.
 pub struct Fleet {
     daemons: Vec<Daemon>,
     by_address: HashMap<SocketAddr, usize>,
     seeds: Vec<SocketAddr>,
     events: HashMap<u64, Event>,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
-    number: u64,
+    last_event: u64,
     now_us: u64,
     random: SmallRng,
     halls: usize,
@@ -95,14 +95,14 @@
 }
 
 fn bytes_of(message: &impl serde::Serialize) -> u64 {
-    HEAD + rmp_serde::to_vec(message).unwrap().len() as u64
+    HEADER_BYTES + rmp_serde::to_vec(message).unwrap().len() as u64
 }
 
 impl Fleet {
-    /// That many daemons in that many data halls, each a region of its own. All begin
-    /// within 50 ms; five of nine are entries. As many targets as there are agents are
-    /// known from the start, each to one entry.
-    pub fn begin(count: usize, halls: usize) -> Self {
+    /// Creates `count` daemons in `halls` data halls, each in a region of its own. All
+    /// start within 50 ms; five of nine are entries. From the start, there are as many
+    /// targets as agents, each known to one entry.
+    pub fn new(count: usize, halls: usize) -> Self {
         let daemons: Vec<Daemon> = (0..count).map(|number| daemon(number, halls)).collect();
         let by_address = (0..count).map(|number| (address(number), number));
         let mut fleet = Self {
@@ -111,7 +111,7 @@
             daemons,
             events: HashMap::new(),
             queue: BinaryHeap::new(),
-            number: 0,
+            last_event: 0,
             now_us: 0,
             random: SmallRng::seed_from_u64(count as u64),
             halls,
@@ -119,70 +119,76 @@
             has_requests: false,
         };
         for number in 0..count {
-            let at_us = fleet.random.random_range(0..LOOK_MS * 1_000);
-            fleet.schedule(at_us, Event::Look(number));
+            let at_us = fleet.random.random_range(0..TICK_MS * 1_000);
+            fleet.schedule(at_us, Event::Tick(number));
         }
         fleet.add_targets();
         fleet
     }
 
-    /// Plays until that many milliseconds from the start.
-    pub fn play_until(&mut self, end_ms: u64) {
+    /// Runs the simulation until `end_ms` milliseconds after the start.
+    pub fn run_until(&mut self, end_ms: u64) {
         while let Some(Reverse((at_us, number))) = self.queue.peek().copied() {
             if at_us >= end_ms * 1_000 {
                 break;
             }
             self.queue.pop();
             self.now_us = at_us;
-            match self.events.remove(&number).expect("each event once") {
-                Event::Look(daemon) => self.look(daemon),
-                Event::Asked(asked) => self.asked(*asked),
-                Event::Answered(answered) => self.answered(*answered),
-                Event::Late(greeting) => self.late(*greeting),
+            match self
+                .events
+                .remove(&number)
+                .expect("events are handled once")
+            {
+                Event::Tick(daemon) => self.tick(daemon),
+                Event::Request(request) => self.receive_request(*request),
+                Event::Reply(reply) => self.receive_reply(*reply),
+                Event::Timeout(exchange) => self.time_out(*exchange),
             }
         }
         self.now_us = end_ms * 1_000;
     }
 
-    /// Lets requests run from now on: load changes and entries ask more often.
-    pub fn let_requests_run(&mut self) {
+    /// Starts requests: load changes from now on, and entries query more often.
+    pub fn start_requests(&mut self) {
         self.has_requests = true;
     }
 
-    /// Counts from nothing again.
-    pub fn count_anew(&mut self) {
+    /// Resets all counters.
+    pub fn reset_counters(&mut self) {
         self.between_halls = 0;
         for daemon in &mut self.daemons {
             daemon.traffic = Traffic::default();
         }
     }
 
-    /// Bytes that went from one data hall to another.
+    /// Returns the bytes sent between data halls.
     pub fn between_halls(&self) -> u64 {
         self.between_halls
     }
 
-    /// What the daemons of a role did that are relays, or are not.
+    /// Returns the traffic of the daemons with `role` that are relays, or that are not.
     pub fn traffic(&self, role: DaemonRole, relays: bool) -> Vec<Traffic> {
         let of_role = self.daemons.iter().filter(|daemon| daemon.own.role == role);
         let wanted = of_role.filter(|daemon| self.is_relay(daemon) == relays);
         wanted.map(|daemon| daemon.traffic).collect()
     }
 
-    /// What all daemons did.
+    /// Returns the traffic of all daemons.
     pub fn all_traffic(&self) -> Vec<Traffic> {
         self.daemons.iter().map(|daemon| daemon.traffic).collect()
     }
 
-    /// Daemons that do not know all entries and agents, or take one of them to be
+    /// Returns the number of daemons that do not know all others, or consider one of them
     /// silent.
-    pub fn ignorant(&self) -> usize {
+    pub fn uninformed(&self) -> usize {
         let now = self.now();
-        let is_heard = |daemon: &Daemon| {
-            let heard = daemon.directory.daemons();
-            heard.filter(|heard| now.since(heard.at) < 2_500).count()
+        let count_heard = |daemon: &Daemon| {
+            let daemons = daemon.directory.daemons();
+            daemons
+                .filter(|observed| now.since(observed.at) < 2_500)
+                .count()
         };
-        let lacks = |daemon: &&Daemon| is_heard(daemon) < self.daemons.len() - 1;
+        let lacks = |daemon: &&Daemon| count_heard(daemon) < self.daemons.len() - 1;
         self.daemons.iter().filter(lacks).count()
     }
 
@@ -219,34 +225,34 @@
     }
 
     fn schedule(&mut self, at_us: u64, event: Event) {
-        self.number += 1;
-        self.events.insert(self.number, event);
-        self.queue.push(Reverse((at_us, self.number)));
+        self.last_event += 1;
+        self.events.insert(self.last_event, event);
+        self.queue.push(Reverse((at_us, self.last_event)));
     }
 
-    fn look(&mut self, number: usize) {
+    fn tick(&mut self, number: usize) {
         let now = self.now();
         self.change_load(number);
         let seeds = self.seeds.clone();
         let daemon = &mut self.daemons[number];
         let own = daemon.own.clone();
         daemon.directory.merge_daemon(now, own, 0);
-        let standing = ContactPlanner {
+        let planner = ContactPlanner {
             now,
             directory: &daemon.directory,
             own: &daemon.own,
             seeds: &seeds,
-            resting: &daemon.greeted.resting(now),
+            resting: &daemon.gossip.resting(now),
             is_busy: daemon.is_busy,
             lacks_configuration: false,
-            is_young: now.0 < YOUNG_MS,
-            is_lost: daemon.greeted.silent_ms(now) >= ISOLATION_TIMEOUT_MS,
+            is_young: now.0 < STARTUP_MS,
+            is_lost: daemon.gossip.silent_ms(now) >= ISOLATION_TIMEOUT_MS,
         };
-        let due = daemon.greeted.due(now, standing.contacts(), None);
+        let due = daemon.gossip.due(now, planner.contacts(), None);
         for contact in due {
-            self.greet(number, contact);
+            self.send_request(number, contact);
         }
-        self.schedule(self.now_us + LOOK_MS * 1_000, Event::Look(number));
+        self.schedule(self.now_us + TICK_MS * 1_000, Event::Tick(number));
     }
 
     fn change_load(&mut self, number: usize) {
@@ -255,9 +261,9 @@
         }
         let changes = self
             .random
-            .random_ratio(LOOK_MS as u32, LOAD_CHANGES_MS as u32);
+            .random_ratio(TICK_MS as u32, LOAD_CHANGE_INTERVAL_MS as u32);
         let running = self.random.random_range(0..4);
-        let is_busy = self.random.random_bool(BUSY);
+        let is_busy = self.random.random_bool(BUSY_PROBABILITY);
         let daemon = &mut self.daemons[number];
         match &mut daemon.own.report {
             Some(report) if changes && report.running != running => {
@@ -269,106 +275,114 @@
         }
     }
 
-    fn greet(&mut self, from: usize, contact: Contact) {
+    fn send_request(&mut self, from: usize, contact: Contact) {
         let now = self.now();
         let Some(&to) = self.by_address.get(&contact.address) else {
             return;
         };
         let daemon = &mut self.daemons[from];
-        daemon.greeted.begin(now, contact.address);
-        let before = daemon.greeted.told(contact.address);
+        daemon.gossip.begin(now, contact.address);
+        let before = daemon.gossip.told(contact.address);
         let mut next = before;
-        let question = next.question(now, &contact);
-        let speaker = CallerUpdate::since(&daemon.directory, &daemon.own, before.position);
+        let request = next.question(now, &contact);
+        let update = CallerUpdate::since(&daemon.directory, &daemon.own, before.position);
         next.at = now.0;
         next.position = daemon.directory.position();
-        let greeting = Greeting {
+        let exchange = Exchange {
             from,
             to,
             contact,
             before,
             next,
-            asked_at_us: self.now_us,
+            sent_at_us: self.now_us,
         };
-        let bytes = bytes_of(&(&speaker, &question));
+        let bytes = bytes_of(&(&update, &request));
         let arrives_us = self.send(from, to, bytes);
-        let asked = Event::Asked(Box::new((greeting, speaker, question)));
-        self.schedule(arrives_us, asked);
+        let request_event = Event::Request(Box::new((exchange, update, request)));
+        self.schedule(arrives_us, request_event);
     }
 
-    fn asked(&mut self, (greeting, speaker, question): (Greeting, CallerUpdate, DeltaRequest)) {
+    fn receive_request(
+        &mut self,
+        (exchange, update, request): (Exchange, CallerUpdate, DeltaRequest),
+    ) {
         let now = self.now();
-        let callee = &mut self.daemons[greeting.to];
+        let callee = &mut self.daemons[exchange.to];
         callee.traffic.answered += 1;
         let own = callee.own.clone();
-        let caller = speaker.take(&mut callee.directory, now, &own);
-        if question.scope != Scope::CalleesHall {
+        let caller = update.take(&mut callee.directory, now, &own);
+        if request.scope != Scope::CalleesHall {
             callee
                 .directory
                 .record_direct_contact(now, &caller.instance);
         }
         callee.directory.merge_daemon(now, own.clone(), 0);
-        let news =
+        let delta =
             callee
                 .directory
-                .news(now, own.incarnation, &own.hall, &caller.instance, question);
+                .news(now, own.incarnation, &own.hall, &caller.instance, request);
         let answered = Answered {
             unknown_caller: !caller.is_known,
-            cursor: news.cursor,
-            has_more: news.has_more,
+            cursor: delta.cursor,
+            has_more: delta.has_more,
             ends_cursor: Cursor::default(),
         };
-        let arrives_us = self.send(greeting.to, greeting.from, bytes_of(&news));
-        let gives_up_us = greeting.asked_at_us + ANSWER_MS * 1_000;
-        if arrives_us <= gives_up_us {
-            let answer = Box::new((greeting, answered, news));
-            self.schedule(arrives_us, Event::Answered(answer));
+        let arrives_us = self.send(exchange.to, exchange.from, bytes_of(&delta));
+        let deadline_us = exchange.sent_at_us + TIMEOUT_MS * 1_000;
+        if arrives_us <= deadline_us {
+            let answer = Box::new((exchange, answered, delta));
+            self.schedule(arrives_us, Event::Reply(answer));
         } else {
             self.schedule(
-                gives_up_us.max(self.now_us),
-                Event::Late(Box::new(greeting)),
+                deadline_us.max(self.now_us),
+                Event::Timeout(Box::new(exchange)),
             );
         }
     }
 
-    fn answered(&mut self, (greeting, answered, news): (Greeting, Answered, News)) {
+    fn receive_reply(&mut self, (exchange, answered, delta): (Exchange, Answered, News)) {
         let now = self.now();
-        let daemon = &mut self.daemons[greeting.from];
-        let contact = greeting.contact;
+        let daemon = &mut self.daemons[exchange.from];
+        let contact = exchange.contact;
         daemon
-            .greeted
-            .answered(now, &contact, greeting.next, answered);
-        let slots = daemon.greeted.slots(contact.address);
+            .gossip
+            .answered(now, &contact, exchange.next, answered);
+        let slots = daemon.gossip.slots(contact.address);
         let own = &daemon.own.instance;
-        let taken = daemon.directory.apply_delta(now, own, news, slots);
-        if !taken.is_complete {
-            daemon.greeted.reset_cursor(contact.address);
+        let outcome = daemon.directory.apply_delta(now, own, delta, slots);
+        if !outcome.is_complete {
+            daemon.gossip.reset_cursor(contact.address);
         }
     }
 
-    fn late(&mut self, greeting: Greeting) {
+    fn time_out(&mut self, exchange: Exchange) {
         let now = self.now();
-        let daemon = &mut self.daemons[greeting.from];
-        daemon.traffic.late += 1;
+        let daemon = &mut self.daemons[exchange.from];
+        daemon.traffic.timeouts += 1;
         daemon
-            .greeted
-            .unanswered(now, &greeting.contact, greeting.before);
+            .gossip
+            .unanswered(now, &exchange.contact, exchange.before);
     }
 
-    /// Sends bytes; returns when they arrive.
+    /// Queues bytes on the sender's link and returns their arrival time.
     fn send(&mut self, from: usize, to: usize, bytes: u64) -> u64 {
-        let is_far = self.daemons[from].own.hall != self.daemons[to].own.hall;
-        if is_far {
+        let is_remote = self.daemons[from].own.hall != self.daemons[to].own.hall;
+        if is_remote {
             self.between_halls += bytes;
         }
         self.daemons[to].traffic.received += bytes;
         let sender = &mut self.daemons[from];
         sender.traffic.sent += bytes;
-        let begins_us = sender.link_free_us.max(self.now_us);
-        let waiting = (begins_us - self.now_us) * sender.link / 1_000_000 + bytes;
-        sender.traffic.most_waiting = sender.traffic.most_waiting.max(waiting);
-        sender.link_free_us = begins_us + bytes * 1_000_000 / sender.link;
-        sender.link_free_us + if is_far { FAR_WAY_US } else { WAY_US }
+        let starts_us = sender.link_free_us.max(self.now_us);
+        let queued = (starts_us - self.now_us) * sender.link_rate / 1_000_000 + bytes;
+        sender.traffic.max_queued = sender.traffic.max_queued.max(queued);
+        sender.link_free_us = starts_us + bytes * 1_000_000 / sender.link_rate;
+        sender.link_free_us
+            + if is_remote {
+                REMOTE_LATENCY_US
+            } else {
+                LATENCY_US
+            }
     }
 }
 
@@ -376,8 +390,12 @@
     Daemon {
         own: record(number, halls),
         directory: Directory::new(),
-        greeted: GossipState::default(),
-        link: if number < SEEDS { SEED_LINK } else { LINK },
+        gossip: GossipState::default(),
+        link_rate: if number < SEEDS {
+            SEED_LINK_BYTES_PER_S
+        } else {
+            LINK_BYTES_PER_S
+        },
         link_free_us: 0,
         is_busy: false,
         traffic: Traffic::default(),
--- a/crates/moleroad_membership/tests/support/records.rs
+++ b/crates/moleroad_membership/tests/support/records.rs
@@ -1,17 +1,17 @@
-//! The daemons of a fleet, by their numbers.
+//! The records of the daemons in a simulated fleet, by their numbers.
 
 use moleroad_directory::prelude::*;
 use moleroad_types::prelude::*;
 use std::net::SocketAddr;
 
-/// The peer address of a daemon, and that of the engine beside it.
+/// Returns the peer address of a daemon, which is also used for its other addresses.
 pub fn address(number: usize) -> SocketAddr {
     let [high, low] = (number as u16).to_be_bytes();
     SocketAddr::from(([10, 0, high, low], 7_000))
 }
 
-/// The record of a daemon: five of nine are entries, the others agents, in turn in each
-/// data hall.
+/// Returns the record of a daemon. In each data hall, five of every nine daemons are
+/// entries and the others agents.
 pub fn record(number: usize, halls: usize) -> DaemonRecord {
     let is_agent = number % 9 >= 5;
     let hall = format!("data-hall-{}", number % halls);
--- a/crates/moleroad_types/src/regions.rs
+++ b/crates/moleroad_types/src/regions.rs
@@ -5,9 +5,9 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Regions in which a request may be served; without a restriction, all.
+/// Regions in which a request may be served; unrestricted by default.
 ///
-/// Cheap to clone: requests share the set of their configuration.
+/// Cloning is cheap: requests share the set of their configuration.
 ///
 /// ```
 /// use moleroad_types::prelude::*;
@@ -22,42 +22,42 @@
 pub struct AllowedRegions(Option<Arc<[Region]>>);
 
 impl AllowedRegions {
-    /// No restriction.
+    /// Returns the unrestricted set.
     pub fn all() -> Self {
         Self(None)
     }
 
-    /// These regions alone; an empty list allows none.
+    /// Returns a set of only these regions; an empty list allows none.
     pub fn only(regions: impl IntoIterator<Item = Region>) -> Self {
-        // In order and once each, so that equal sets are equal lists.
+        // Sorted and deduplicated, so that equal sets compare equal.
         let regions: BTreeSet<Region> = regions.into_iter().collect();
         Self(Some(regions.into_iter().collect()))
     }
 
-    /// Whether there is no restriction.
+    /// Returns whether all regions are allowed.
     pub fn is_all(&self) -> bool {
         self.0.is_none()
     }
 
-    /// Whether no region is allowed.
+    /// Returns whether no region is allowed.
     pub fn is_none(&self) -> bool {
         self.0.as_ref().is_some_and(|regions| regions.is_empty())
     }
 
-    /// Whether `region` is allowed.
+    /// Returns whether `region` is allowed.
     pub fn contains(&self, region: &Region) -> bool {
-        // Sets hold a few names, and this runs for each target of each choice: a
-        // scan is cheaper than a search.
+        // A linear scan is faster than a binary search here: sets contain few names, and
+        // this runs for each target of each routing decision.
         let regions = self.0.as_ref();
         regions.is_none_or(|regions| regions.iter().any(|allowed| allowed == region))
     }
 
-    /// The regions in their order, where they are restricted.
+    /// Returns the allowed regions in sorted order, or `None` if unrestricted.
     pub fn named(&self) -> Option<&[Region]> {
         self.0.as_deref()
     }
 
-    /// Whether all that `other` allows is allowed here.
+    /// Returns whether this set allows every region that `other` allows.
     pub fn covers(&self, other: &Self) -> bool {
         match (&self.0, &other.0) {
             (None, _) => true,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// The regions that either allows.
+    /// Returns the regions that at least one of the sets allows.
     pub fn or(&self, other: &Self) -> Self {
         match (&self.0, &other.0) {
             (Some(left), Some(right)) => Self::only(left.iter().chain(right.iter()).cloned()),
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The regions that both allow.
+    /// Returns the regions that both sets allow.
     pub fn and(&self, other: &Self) -> Self {
         match (&self.0, &other.0) {
             (None, _) => other.clone(),
@@ -89,8 +89,8 @@
 }
 
 impl fmt::Display for AllowedRegions {
-    /// The names, parted by commas; `all` without a restriction, `none` when
-    /// no region is allowed.
+    /// Writes the names separated by commas, `all` for an unrestricted set, or `none` for
+    /// an empty one.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Some(regions) = self.named() else {
             return f.write_str("all");
