--- a/crates/moleroad_directory/src/changes.rs
+++ b/crates/moleroad_directory/src/changes.rs
@@ -80,7 +80,7 @@
         self.record_at = at;
     }
 
-    /// Records a change of the parts in `difference`.
+    /// Records a change of the parts in `diff`.
     pub fn apply_diff(&mut self, diff: RecordDiff, position: u64, at: Millis) {
         if diff.record {
             self.mark_record(position, at);
--- a/crates/moleroad_directory/src/entry_addresses.rs
+++ b/crates/moleroad_directory/src/entry_addresses.rs
@@ -43,12 +43,7 @@
             })
             .collect();
         ranked.sort();
-        let count = |least: Proximity| {
-            ranked
-                .iter()
-                .filter(|(proximity, ..)| *proximity <= least)
-                .count()
-        };
+        let count = |least: Proximity| ranked.iter().filter(|(near, ..)| *near <= least).count();
         let limit = if count(Proximity::Hall) >= MIN_ADDRESSES {
             Proximity::Hall
         } else if count(Proximity::Region) >= MIN_ADDRESSES {
@@ -58,7 +53,7 @@
         } else {
             Proximity::Elsewhere
         };
-        let named = ranked.iter().filter(|(proximity, ..)| *proximity <= limit);
+        let named = ranked.iter().filter(|(near, ..)| *near <= limit);
         named
             .map(|(_, _, address)| *address)
             .take(MAX_ADDRESSES)
--- a/crates/moleroad_directory/src/slots.rs
+++ b/crates/moleroad_directory/src/slots.rs
@@ -44,8 +44,8 @@
 
 /// Resolution of [`SlotAges`], in milliseconds.
 const AGE_UNIT_MS: u64 = 50;
-/// Age of a daemon that is not included, or was not heard from for 255 units (12.75
-/// s).
+/// Marks a daemon that is not included, or was not heard from for 255 units
+/// (12.75 s).
 const AGE_UNKNOWN: u8 = u8::MAX;
 
 /// Time since each daemon was last heard from, indexed by slot.
