--- a/crates/moleroad_gateway/src/view.rs
+++ b/crates/moleroad_gateway/src/view.rs
@@ -1,6 +1,7 @@
-//! What one daemon believes: what is in force, who is there, who leads.
+//! One daemon's view of the cluster: the committed state, the known daemons and
+//! targets, and the leader.
 
-use crate::cold_targets::ColdMemory;
+use crate::cold_targets::ColdTargets;
 use crate::control_state::{ConfigDocument, ControlState};
 use crate::halls::KnownHalls;
 use crate::interface::Interface;
@@ -8,7 +9,7 @@
 use crate::peer::{Catalog, CatalogModel, CatalogOrigin, LeaderHint, VersionAge};
 use crate::places::ServicePlaces;
 use crate::quarantine::Quarantine;
-use crate::target_limits::LimitMemory;
+use crate::target_limits::TargetLimits;
 use moleroad_config::prelude::{
     ConfigVersion, Configuration, ConfigurationError, Residency, RouteTable, Service, check,
 };
@@ -19,63 +20,64 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-/// Part of the time for a version that is left when requests stop going to
-/// older weights: time on the way and in the target's queue. Engines are given
-/// no more time than a request may begin in, so a larger part only leaves them
-/// idle while newer weights are still on their way.
-const VERSION_MARGIN_PART: u64 = 8;
+/// Reciprocal of the part of a version's time limit that remains when requests stop
+/// going to older weights. It covers the network delay and the target's queue. Engines
+/// have no more time than a request may start in, so a larger margin only leaves them
+/// idle while newer weights are still in transfer.
+const VERSION_MARGIN_DIVISOR: u64 = 8;
 
-/// Time from the naming of a version until requests no longer go to older ones,
-/// in milliseconds, where it is due after `version_ms`.
+/// Returns the time after the naming of a version at which requests stop going to older
+/// ones, in milliseconds, where the version is due after `version_ms`.
 pub fn older_version_cutoff_ms(version_ms: u64) -> u64 {
-    version_ms - version_ms / VERSION_MARGIN_PART
+    version_ms - version_ms / VERSION_MARGIN_DIVISOR
 }
 
-/// What one daemon believes.
+/// One daemon's view of the cluster.
 pub struct View {
-    /// What is in force.
+    /// Committed state of the control group, as far as known.
     pub state: ControlState,
-    /// Begin of the digest of the configuration in force; 0 without one.
+    /// Prefix of the digest of the current configuration; 0 without one.
     pub config_digest: u64,
-    /// The configuration in the form that requests are looked up in.
+    /// Current configuration, compiled for request lookup.
     pub table: Option<Arc<RouteTable>>,
-    /// What agents need of the configuration.
+    /// Parts of the configuration that agents need.
     pub catalog: Catalog,
-    /// Versions of models that were named.
+    /// Versions that were named, by model.
     pub named: BTreeMap<String, NamedVersions>,
-    /// Versions that agents prepare for, not known to be named.
+    /// Versions that agents prefetch without knowing whether they are named, by model.
     pub prepared: BTreeMap<String, NamedVersions>,
-    /// What is known of evacuated halls beside their states.
+    /// State of evacuated halls that is not part of the committed state.
     pub halls: KnownHalls,
     /// Targets and daemons.
     pub directory: Directory,
-    /// Places at the targets of each service.
+    /// Slots at the targets of each service.
     pub services: HashMap<String, ServicePlaces>,
-    /// What this daemon tells of itself.
+    /// The record of this daemon that is sent to others.
     pub own: DaemonRecord,
-    /// Whether the engine beside this agent was read in this life.
+    /// Whether the state of this agent's engine was read since the start of this
+    /// process.
     pub engine_was_polled: bool,
-    /// Requests that this daemon has to place in a second.
+    /// Requests per second that arrive at this daemon for dispatch.
     pub demand_per_s: f32,
-    /// The leader of the control group, as believed.
+    /// The last known leader of the control group.
     pub leader: Option<LeaderHint>,
-    /// Targets of which this daemon is to tell others, since they called it or told
-    /// it something in an answer, with the number of the word.
+    /// Targets to announce to other daemons, because they called this daemon or
+    /// reported something in an answer, with the number of the announcement.
     pub to_tell: HashMap<TargetId, u64>,
-    /// Number of such words so far.
+    /// Number of announcements so far.
     pub calls: u64,
     /// Which targets are cold.
-    pub cold: ColdMemory,
-    /// Which targets name a limit.
-    pub limits: LimitMemory,
-    /// Targets that asked this daemon for rest.
-    pub rests: Rests,
-    /// Requests that end targets.
+    pub cold: ColdTargets,
+    /// Rate limits that targets named.
+    pub limits: TargetLimits,
+    /// Targets that asked this daemon to back off.
+    pub backoffs: Rests,
+    /// Requests that terminate targets.
     pub quarantine: Quarantine,
 }
 
 impl View {
-    /// Knows only this daemon.
+    /// Creates a view that contains only this daemon.
     pub fn new(own: DaemonRecord) -> Self {
         Self {
             state: ControlState::default(),
@@ -93,15 +95,15 @@
             leader: None,
             to_tell: HashMap::new(),
             calls: 0,
-            cold: ColdMemory::default(),
-            limits: LimitMemory::default(),
-            rests: Rests::default(),
+            cold: ColdTargets::default(),
+            limits: TargetLimits::default(),
+            backoffs: Rests::default(),
             quarantine: Quarantine::default(),
         }
     }
 
-    /// Takes what is newer in `state`; true if anything was. When halls changed
-    /// is learned apart: see [`View::learn_halls`].
+    /// Merges newer parts of `state`; returns true if anything changed. Times at which
+    /// halls changed are merged separately, see [`View::merge_halls`].
     pub fn take_state(
         &mut self,
         now: Millis,
@@ -116,20 +118,20 @@
             self.name_version(now, &model, version, 0);
         }
         if self.state.config_version() > before {
-            self.put_in_force(interface);
+            self.activate_configuration(interface);
         }
         true
     }
 
-    /// Whether another daemon that tells this of its configuration holds another document
-    /// than this one under the same version.
+    /// Returns whether another daemon that reports this version and digest holds a
+    /// different document under the version of this one.
     pub fn has_conflicting_document(&self, version: ConfigVersion, digest: u64) -> bool {
         let both_hold = digest != 0 && self.config_digest != 0;
         both_hold && version == self.state.config_version() && digest != self.config_digest
     }
 
-    /// Tells agents of the models of a state that is not known to be in force,
-    /// so that they fetch weights meanwhile; requests do not go by it.
+    /// Publishes to agents the models of a state that may not be committed, so that they
+    /// can prefetch weights. Requests are not routed by it.
     pub fn prepare_for(&mut self, now: Millis, state: &ControlState, interface: &dyn Interface) {
         let Some(document) = state
             .configuration
@@ -150,7 +152,7 @@
         }
     }
 
-    fn put_in_force(&mut self, interface: &dyn Interface) {
+    fn activate_configuration(&mut self, interface: &dyn Interface) {
         let Some(document) = &self.state.configuration else {
             return;
         };
@@ -160,34 +162,34 @@
         match parsed {
             Ok(configuration) => {
                 let table = RouteTable::compile(&configuration);
-                note_unknown_speeds(&table);
+                warn_unknown_reading_speeds(&table);
                 self.catalog = catalog_of(&table);
                 self.table = Some(Arc::new(table));
                 log::info!(event = "configuration_in_force", version = document.version.0; "");
             }
-            // It was checked before it was accepted.
+            // It was validated before it was accepted.
             Err(error) => log::error!(event = "configuration_unreadable"; "{error}"),
         }
     }
 
-    /// Brings requests that wait under the configuration that is in force.
-    pub fn renew_residency(&mut self) {
+    /// Applies the current configuration to waiting requests.
+    pub fn refresh_residency(&mut self) {
         let Some(table) = &self.table else {
             return;
         };
         for places in self.services.values_mut() {
-            places.renew_residency(table);
+            places.refresh_residency(table);
         }
     }
 
-    /// Where a request may be served by the configuration that is in force.
+    /// Returns the regions that may serve a request under the current configuration.
     pub fn residency(&self, accepted: &Residency) -> Residency {
         let table = self.table.as_ref();
         table.map_or_else(|| accepted.clone(), |table| accepted.under(table))
     }
 
-    /// Learns that `version` of `model` was named `age_ms` ago; true if that
-    /// is news.
+    /// Records that `version` of `model` was named `age_ms` ago; returns true if that
+    /// was unknown.
     pub fn name_version(&mut self, now: Millis, model: &str, version: u64, age_ms: u64) -> bool {
         let at = Millis(now.0.saturating_sub(age_ms));
         let known = self.named.entry(model.into()).or_default();
@@ -201,14 +203,14 @@
         true
     }
 
-    /// Versions that were named and their ages, for another entry.
+    /// Returns the named versions and their ages, for another entry.
     pub fn named_ages(&self, now: Millis) -> BTreeMap<String, Vec<VersionAge>> {
         let aged = |(model, named): (&String, &NamedVersions)| (model.clone(), named.ages(now));
         self.named.iter().map(aged).collect()
     }
 
-    /// Versions to bring and their ages, for an agent. Before anything is in
-    /// force, agents hear of what may be.
+    /// Returns the versions to fetch and their ages, for an agent. Before any
+    /// configuration is in effect, these are the versions to prefetch.
     pub fn version_ages(&self, now: Millis) -> BTreeMap<String, Vec<VersionAge>> {
         let known = if self.table.is_some() {
             &self.named
@@ -219,7 +221,7 @@
         known.iter().map(aged).collect()
     }
 
-    /// Takes a belief about the leader if it is newer.
+    /// Replaces the known leader if `hint` has a newer term.
     pub fn update_leader(&mut self, hint: Option<LeaderHint>) {
         if let Some(hint) = hint
             && self.leader.is_none_or(|known| hint.term > known.term)
@@ -228,16 +230,16 @@
         }
     }
 
-    /// The least version that requests for `service` may begin on: the one
-    /// that was named, once its time is over.
+    /// Returns the lowest version that requests for `service` may start on: the newest
+    /// named version whose time limit has passed.
     pub fn least_version(&self, now: Millis, service: &Service, version_ms: u64) -> Option<u64> {
         let model = service.models.first()?;
         let named = self.named.get(&model.name)?;
         named.due(now, older_version_cutoff_ms(version_ms))
     }
 
-    /// Until when requests may begin on `version` of the weights for `service`;
-    /// `None` while no newer one is named.
+    /// Returns until when requests may start on `version` of the weights for `service`;
+    /// `None` while no newer version is named.
     pub fn old_weights(
         &self,
         service: &Service,
@@ -250,7 +252,7 @@
         Some(OldWeights::new(newer_named_at, version_ms))
     }
 
-    /// Number of entries that share the targets.
+    /// Returns the number of entries that share the targets.
     pub fn entry_count(&self, now: Millis) -> usize {
         self.directory.ready_entries(now).count().max(1)
     }
@@ -263,9 +265,9 @@
     interface.read_configuration(&document.bytes()?)
 }
 
-/// Says which engines' first events cannot be predicted, since their
-/// configuration does not tell how fast they read.
-fn note_unknown_speeds(table: &RouteTable) {
+/// Warns of engines whose first events cannot be predicted because their configuration
+/// does not state their reading speed.
+fn warn_unknown_reading_speeds(table: &RouteTable) {
     let reads = |service: &Service| service.steps.is_some_and(|s| s.prompt_tokens_per_s > 0.0);
     let unknown = table
         .services()
--- a/crates/moleroad_gateway/tests/cold.rs
+++ b/crates/moleroad_gateway/tests/cold.rs
@@ -1,10 +1,10 @@
-//! Which targets count as cold, and what is granted to them, without a network.
+//! Which targets count as cold, and the grants issued for them, without a network.
 
 use moleroad_config::prelude::*;
 use moleroad_directory::prelude::*;
 use moleroad_dispatch::prelude::*;
 use moleroad_gateway::agent::cold::{ColdEngine, GrantCounts};
-use moleroad_gateway::grants::take_state;
+use moleroad_gateway::grants::update_cold_state;
 use moleroad_gateway::peer::{EngineLoad, GrantRequest};
 use moleroad_gateway::settings::Settings;
 use moleroad_gateway::view::View;
@@ -20,7 +20,7 @@
     let text = format!(
         "instance: entry-1\nrole: entry\nip: 127.0.0.1\nhall: h\nregion: r\npeer_ports: [1,2]\nlisten: {{frontend: '127.0.0.1:3'}}\nexperiments: {{off: [{off}]}}\n"
     );
-    Settings::parse(&text).expect("sound settings")
+    Settings::parse(&text).expect("valid settings")
 }
 
 fn daemon(role: DaemonRole, number: u16) -> DaemonRecord {
@@ -33,7 +33,8 @@
     }
 }
 
-/// A service of engines, or a plain one, whose targets have a bound or not.
+/// Builds a route table with one service, of engines or of plain targets, with or
+/// without a rate limit for cold targets.
 fn table(is_engine: bool, cold_start: Option<ColdStart>) -> Arc<RouteTable> {
     let model = EngineModel {
         name: "m".into(),
@@ -58,7 +59,7 @@
     Arc::new(RouteTable::compile(&configuration))
 }
 
-/// How fast the engines are: without it no agent is asked.
+/// Speed of the engines: without it no agent is queried.
 const STEPS: StepModel = StepModel {
     step_ms: 8.0,
     per_request_ms: 0.5,
@@ -90,8 +91,8 @@
     }
 }
 
-/// A view with a target that was first heard of at 1,000 ms and is not cold
-/// any more by its own word, and its agent.
+/// Builds a view with an agent and its target, which was first seen at 1,000 ms and
+/// reports itself that it is no longer cold.
 fn view(table: Arc<RouteTable>, settings: &Settings) -> View {
     let mut view = View::new(daemon(DaemonRole::Entry, 1));
     view.table = Some(table);
@@ -117,7 +118,8 @@
     let now = Millis(1_000);
     view.directory.merge_target(now, target(0, 1), 0);
     view.refresh_candidates(now, &settings);
-    // Its agent may be there and grant to others: it is asked where it would be.
+    // Its agent may exist and issue grants to other entries, so it is queried at its
+    // expected address.
     let agent = |view: &View| view.services["chat"].targets.candidates()[0].agent;
     assert_eq!(admission(&view, 1_000), Admission::Grant);
     assert_eq!(agent(&view), Some(address(1)));
@@ -130,7 +132,7 @@
     view.directory.merge_target(Millis(2_200), target(0, 2), 0);
     view.refresh_candidates(Millis(2_200), &settings);
     assert_eq!(admission(&view, 2_200), Admission::Unrestricted);
-    // Relayed word is as old as it is.
+    // A relayed report is as old as its age says.
     view.directory
         .merge_target(Millis(9_000), target(2_000, 9), 500);
     view.refresh_candidates(Millis(9_000), &settings);
@@ -163,7 +165,11 @@
         view.refresh_candidates(Millis(3_000), &settings);
         let id = TargetId::new("t");
         assert_eq!(admission(&view, 3_000), Admission::Quota);
-        let targets = &mut view.services.get_mut("chat").expect("it").targets;
+        let targets = &mut view
+            .services
+            .get_mut("chat")
+            .expect("the service exists")
+            .targets;
         let chosen = targets.choose(Millis(3_000), Requirements::default(), 0);
         let until = |choice| match choice {
             Choice::Send(candidate) => candidate.granted_until,
@@ -182,7 +188,7 @@
         let mut service = Service::clone(
             table(true, Some(BOUND))
                 .service("chat")
-                .expect("it is there"),
+                .expect("the service exists"),
         );
         service.steps = steps;
         let configuration = Configuration {
@@ -208,7 +214,7 @@
         assert_eq!(admission(&view, 3_000), Admission::Quota);
         let targets = &view.services["chat"].targets;
         let choice = targets.choose(Millis(3_000), Requirements::default(), 0);
-        assert!(matches!(choice, Choice::Send(_)), "it is served");
+        assert!(matches!(choice, Choice::Send(_)), "a target is chosen");
     }
 }
 
@@ -224,7 +230,7 @@
     let now = Millis(3_000);
     let looked_at = targets.shortlist(now, Requirements::default(), SearchScope::OwnRegion, 0);
     let best = targets.best_of(now, Requirements::default(), &looked_at);
-    let best = best.expect("it may be asked");
+    let best = best.expect("the target is eligible");
     assert_eq!(admission(&view, 3_000), Admission::Grant);
     let granted = Candidate {
         granted_until: Some(now + GRANT_TTL_MS),
@@ -253,7 +259,11 @@
     let settings = settings("");
     let mut view = view(table(true, Some(BOUND)), &settings);
     assert_eq!(admission(&view, 5_000), Admission::Unrestricted);
-    let targets = &mut view.services.get_mut("chat").expect("it").targets;
+    let targets = &mut view
+        .services
+        .get_mut("chat")
+        .expect("the service exists")
+        .targets;
     let candidate = targets.candidates()[0].clone();
     let mut load = EngineLoad {
         running: 0,
@@ -264,8 +274,8 @@
         grants_free: Some(0),
         limit_grants_free: None,
     };
-    // No grant is needed of an engine that began long ago.
-    let mut take = |load: &EngineLoad| take_state(targets, Millis(5_000), &candidate, load);
+    // An engine that started long ago needs no grant.
+    let mut take = |load: &EngineLoad| update_cold_state(targets, Millis(5_000), &candidate, load);
     assert!(!take(&load));
     load.engine_age_ms = Some(1_000);
     assert!(take(&load));
@@ -287,7 +297,8 @@
 fn an_agent_counts_every_grant_and_tells_what_it_was_told() {
     let engine = ColdEngine::default();
     assert_eq!(engine.state(Millis(0)).grants, None);
-    // Empty at first: an earlier life may just have granted.
+    // The bucket is empty at first, since an earlier process of the agent may just have
+    // issued grants.
     assert!(!engine.grant(Millis(1_000), ask(0)).is_given);
     let later = |at: u64| engine.grant(Millis(1_000 + at), ask(0)).is_given;
     assert!(later(70) && !later(71));
@@ -311,7 +322,8 @@
         engine.note_alive(Millis(at));
     }
     assert_eq!(engine.state(Millis(2_000)).grants, Some(3));
-    // It stands still for two seconds, and an entry's question is the first.
+    // The agent is suspended for two seconds, and the request of an entry is the first
+    // event after it.
     assert!(!engine.grant(Millis(4_000), ask(0)).is_given);
     assert!(engine.grant(Millis(4_070), ask(0)).is_given);
 }
--- a/crates/moleroad_gateway/tests/evacuations.rs
+++ b/crates/moleroad_gateway/tests/evacuations.rs
@@ -1,5 +1,5 @@
-//! Evacuations of data halls as state: what an order comes to, how news is
-//! merged, and what was written before there were any.
+//! Evacuations of data halls as replicated state: outcomes of orders, merging of
+//! updates, and decoding of data written before evacuations existed.
 
 use moleroad_gateway::control_state::{ConfigDocument, ControlCommand, ControlState};
 use moleroad_gateway::evacuations::*;
@@ -33,22 +33,22 @@
 fn an_order_changes_a_hall_is_already_met_or_was_overtaken() {
     use HallOrderOutcome::*;
     let mut halls = Evacuations::default();
-    // The order, what it comes to, and the state after it.
+    // The order, its outcome, and the state after it.
     let steps = [
         (order("a", false, 0), AlreadySo, state(false, 0)),
         (order("a", true, 0), Changed, state(true, 1)),
-        // Its answer was lost: sent again, to a daemon that knows of it or not.
+        // Its answer was lost: sent again, to a daemon that knows the new state or not.
         (order("a", true, 0), AlreadySo, state(true, 1)),
         (order("a", true, 1), AlreadySo, state(true, 1)),
-        // A daemon that has not heard of the evacuation.
+        // From a daemon that does not know of the evacuation.
         (order("a", false, 0), Overtaken, state(true, 1)),
         (order("a", false, 1), Changed, state(false, 2)),
-        // One that lay in a frozen daemon since the first evacuation.
+        // One that was delayed in a frozen daemon since the first evacuation.
         (order("a", true, 0), Overtaken, state(false, 2)),
         (order("a", true, 1), Overtaken, state(false, 2)),
         (order("a", true, 2), Changed, state(true, 3)),
-        // The group lost its disks, and daemons know of later changes: these
-        // would outlast an order that seems to be met.
+        // The group lost its disks, and daemons know of later changes, which would
+        // override an order that was taken for already satisfied.
         (order("a", true, 6), Changed, state(true, 7)),
         (order("a", false, 7), Changed, state(false, 8)),
     ];
@@ -56,7 +56,7 @@
         let verdict = halls.carry_out(&order);
         assert_eq!(verdict, HallOrderResult { outcome, state }, "{order:?}");
         assert_eq!(halls.of("a"), state);
-        assert_eq!(outcome.is_as_wanted(), state.evacuated == order.evacuated);
+        assert_eq!(outcome.is_satisfied(), state.evacuated == order.evacuated);
     }
     assert_eq!(halls.of("b"), HallState::default());
 }
@@ -75,7 +75,7 @@
     for seed in 0..SEEDS {
         let mut random = SmallRng::seed_from_u64(seed);
         let halls = ["a", "b", "c"];
-        // What the log came to after each order, stale ones among them.
+        // The state of the log after each order, stale ones included.
         let mut log = Evacuations::default();
         let mut history = vec![log.clone()];
         for _ in 0..random.random_range(1..14) {
@@ -100,7 +100,10 @@
                     assert!(after.revision >= held.revision, "seed {seed}");
                     assert!(after.revision > held.revision || after == held);
                 }
-                assert!(!daemon.merge(news), "news that was heard is none");
+                assert!(
+                    !daemon.merge(news),
+                    "a second merge of the same state changes nothing"
+                );
             }
         }
         assert_eq!(daemons[0], log, "seed {seed}");
@@ -108,7 +111,7 @@
     }
 }
 
-/// The state as it was written before there were evacuations.
+/// The state as encoded before evacuations existed.
 type FormerState = (Option<ConfigDocument>, BTreeMap<String, u64>);
 
 #[test]
@@ -125,14 +128,14 @@
     assert_eq!(read.evacuations, Evacuations::default());
     assert!(read.apply(&ControlCommand::OrderHall(order("a", true, 0))));
 
-    // Commands of a log, as the earlier program wrote them byte for byte.
+    // Commands of a log, byte for byte as the earlier program wrote them.
     let named = b"\x81\xabNameVersion\x92\xa1m\x05";
     let command: ControlCommand = rmp_serde::from_slice(named).unwrap();
     assert!(read.apply(&command));
     assert_eq!(read.versions["m"], 5);
     assert_eq!(rmp_serde::to_vec(&command).unwrap(), named);
 
-    // And back: what is written now is read with nothing lost.
+    // A round trip of the current format loses nothing.
     let bytes = rmp_serde::to_vec(&read).unwrap();
     let again: ControlState = rmp_serde::from_slice(&bytes).unwrap();
     assert_eq!(again, read);
@@ -141,7 +144,7 @@
 
 #[test]
 fn greetings_of_daemons_that_know_nothing_of_evacuations_or_ended_targets_are_read() {
-    // An array with fewer fields; `last` are the bytes of those that were added.
+    // Removes the last fields of an encoded array; `last` are their encoded bytes.
     let without = |bytes: &[u8], fields: u8, last: &[&[u8]]| {
         let tail = last.concat();
         assert_eq!((bytes[0], bytes.ends_with(&tail)), (0x90 + fields, true));
@@ -209,13 +212,13 @@
     for now in (50..2_000).step_by(50) {
         assert!(!process.look(Millis(now)));
     }
-    // Late by less than the time in which operators give a call up.
+    // Late by less than the time after which operators give up a call.
     assert!(!process.look(Millis(2_900)));
     assert!(!process.waits_for_news(Millis(2_900)) && !process.may_read_backlog(Millis(2_900)));
 
     assert!(process.look(Millis(9_000)));
     assert!(process.waits_for_news(Millis(9_000)) && process.may_read_backlog(Millis(9_000)));
-    // An answer that lay in its sockets tells nothing of what came later.
+    // An answer that was waiting in its sockets contains nothing that happened later.
     process.heard(Millis(2_900));
     assert!(process.waits_for_news(Millis(9_010)));
     process.heard(Millis(9_005));
@@ -223,7 +226,7 @@
     assert!(process.may_read_backlog(Millis(9_299)));
     assert!(!process.may_read_backlog(Millis(9_300)));
 
-    // Without anybody to ask it goes on with what it knows.
+    // When it reaches nobody, it continues with its known state.
     assert!(process.look(Millis(20_000)));
     assert!(process.waits_for_news(Millis(20_999)));
     assert!(!process.waits_for_news(Millis(21_000)));
@@ -237,7 +240,7 @@
     process.heard(Millis(5_020));
     assert!(!process.waits_for_news(Millis(5_030)));
 
-    // One that reaches nobody goes on with what it knows.
+    // A process that reaches nobody continues with its known state.
     let mut alone = SuspensionDetector::with_old_state(Millis(5_000));
     for now in (5_000..6_000).step_by(50) {
         assert!(!alone.look(Millis(now)));
--- a/crates/moleroad_gateway/tests/hall_orders.rs
+++ b/crates/moleroad_gateway/tests/hall_orders.rs
@@ -1,5 +1,5 @@
-//! Orders for a data hall over the replicated log: random schedules of kills,
-//! cuts, lost answers, repeats at other daemons and orders that were held up.
+//! Orders for a data hall over the replicated log, under random schedules of crashes,
+//! network partitions, lost answers, retries at other daemons and delayed orders.
 
 #[path = "../../moleroad_consensus/tests/support/mod.rs"]
 mod support;
@@ -12,18 +12,18 @@
 use support::Group;
 
 const HALL: &str = "hall-a";
-/// Schedules that run in CI; the seeds are fixed.
+/// Number of schedules that CI runs; the seeds are fixed.
 const SCHEDULES: u64 = 1_500;
-/// Position of the founding members; commands come after it.
+/// Log index of the founding members; commands follow it.
 const FOUNDED: LogIndex = LogIndex(1);
-/// Daemons that operators call.
+/// Number of daemons that operators call.
 const DAEMONS: usize = 4;
 
 fn bytes(order: &HallOrder) -> Vec<u8> {
     rmp_serde::to_vec(&ControlCommand::OrderHall(order.clone())).unwrap()
 }
 
-/// What the commands of a log come to.
+/// Applies the commands of a log.
 fn replay(commands: &[Vec<u8>]) -> ControlState {
     let mut state = ControlState::default();
     for command in commands {
@@ -34,25 +34,25 @@
     state
 }
 
-/// What the order at `index` came to.
+/// Returns the result of the order at `index`.
 fn verdict(commands: &[Vec<u8>], index: LogIndex, order: &HallOrder) -> HallOrderResult {
     let before = (index.0 - FOUNDED.0) as usize - 1;
     assert_eq!(commands[before], bytes(order));
     replay(&commands[..before]).evacuations.carry_out(order)
 }
 
-/// The group and the daemons that operators call, each with its own view.
-struct Play {
+/// The control group and the daemons that operators call, each with its own view.
+struct Simulation {
     group: Group,
     views: [Evacuations; DAEMONS],
-    /// Accepted entries whose proposers were answered.
+    /// Accepted log entries whose proposers received an answer.
     answered: BTreeSet<LogIndex>,
-    /// Orders that lie in frozen daemons.
-    held_up: Vec<HallOrder>,
+    /// Orders that are delayed in frozen daemons.
+    delayed: Vec<HallOrder>,
     next_member: u64,
 }
 
-impl Play {
+impl Simulation {
     fn new(seed: u64) -> Self {
         let mut group = Group::new(seed, 3, 9);
         group.wanted_voters = 3;
@@ -60,7 +60,7 @@
             group,
             views: Default::default(),
             answered: BTreeSet::new(),
-            held_up: Vec::new(),
+            delayed: Vec::new(),
             next_member: 100,
         }
     }
@@ -73,7 +73,7 @@
         }
     }
 
-    /// The commands that the member which is furthest has applied.
+    /// Returns the commands applied by the member that is furthest ahead.
     fn applied(&self) -> &[Vec<u8>] {
         let members = self.group.members.values();
         let running = members.filter_map(|member| member.running.as_ref());
@@ -81,7 +81,8 @@
         furthest.map_or(&[], |running| &running.state)
     }
 
-    /// Proposes where some member leads; the last position before the order.
+    /// Proposes the order to the current leader, if any; returns the last index before
+    /// it.
     fn propose(&mut self, order: &HallOrder) -> Option<LogIndex> {
         let leader = self.group.leader()?;
         let after = LogIndex(FOUNDED.0 + self.applied().len() as u64);
@@ -89,7 +90,8 @@
         Some(after)
     }
 
-    /// The verdict on `order` once it is accepted; the daemon then knows it.
+    /// Returns the result of `order` once it is accepted, and updates the daemon's
+    /// view.
     fn answer(
         &mut self,
         daemon: usize,
@@ -107,19 +109,19 @@
         }
         let verdict = verdict(applied, index, order);
         self.answered.insert(index);
-        self.views[daemon].take(HALL, verdict.state);
+        self.views[daemon].merge_hall(HALL, verdict.state);
         Some(verdict)
     }
 
-    fn disturb(&mut self) {
+    fn inject_fault(&mut self) {
         let group = &mut self.group;
         let ids: Vec<MemberId> = group.members.keys().copied().collect();
         let id = ids[group.random.random_range(0..ids.len())];
         match group.random.random_range(0..7) {
             0 => {
                 if let Some(leader) = group.leader() {
-                    let kept = group.random.random_range(0..200);
-                    group.kill(leader, kept);
+                    let kept_bytes = group.random.random_range(0..200);
+                    group.kill(leader, kept_bytes);
                 }
             }
             1 => {
@@ -132,48 +134,47 @@
         }
     }
 
-    /// An operator's order, sent to one daemon after the other until one
-    /// acknowledges it.
-    fn until_acknowledged(&mut self, evacuated: bool) -> HallState {
+    /// Sends an operator's order to one daemon after another until one acknowledges it.
+    fn order_until_acknowledged(&mut self, evacuated: bool) -> HallState {
         for attempt in 0..60 {
             let daemon = self.group.random.random_range(0..DAEMONS);
             let order = self.order(daemon, evacuated);
             if attempt > 4 {
                 self.group.mend();
             } else {
-                self.disturb();
+                self.inject_fault();
             }
             let proposed = self.propose(&order);
             if self.group.random.random_range(0..3) == 0 {
-                self.disturb();
+                self.inject_fault();
             }
             let span = self.group.random.random_range(20..900);
             self.group.run(span);
             if self.group.random.random_range(0..6) == 0 {
-                self.held_up.push(order.clone());
+                self.delayed.push(order.clone());
             }
             let verdict = proposed.and_then(|after| self.answer(daemon, &order, after));
             // The answer may be lost on its way to the operator.
             let is_lost = self.group.random.random_range(0..4) == 0;
-            if let Some(verdict) = verdict.filter(|v| v.outcome.is_as_wanted() && !is_lost) {
+            if let Some(verdict) = verdict.filter(|v| v.outcome.is_satisfied() && !is_lost) {
                 assert_eq!(verdict.state.evacuated, evacuated);
                 return verdict.state;
             }
-            self.spread();
+            self.exchange_views();
         }
-        panic!("never acknowledged");
+        panic!("the order was never acknowledged");
     }
 
-    /// Some daemons hear of what others know.
-    fn spread(&mut self) {
+    /// Sends the view of one daemon to another.
+    fn exchange_views(&mut self) {
         let from = self.group.random.random_range(0..DAEMONS);
         let to = self.group.random.random_range(0..DAEMONS);
-        let news = self.views[from].clone();
-        self.views[to].merge(&news);
+        let view = self.views[from].clone();
+        self.views[to].merge(&view);
     }
 
-    /// A member comes back without its disk, right after an acknowledgement.
-    fn wipe_one(&mut self) {
+    /// Replaces a member by one without a disk, right after an acknowledgement.
+    fn replace_disk(&mut self) {
         self.group.mend();
         let ids: Vec<MemberId> = self.group.members.keys().copied().collect();
         let id = ids[self.group.random.random_range(0..ids.len())];
@@ -196,11 +197,11 @@
                 return;
             }
         }
-        panic!("the group never takes in the member without a disk");
+        panic!("the group never admits the member without a disk");
     }
 
-    /// What the group holds in the end, on each of its members alike.
-    fn end(&mut self) -> HallState {
+    /// Returns the state of the hall at the end, which all members share.
+    fn final_state(&mut self) -> HallState {
         self.group.mend();
         self.group.accept(b"the last one");
         self.group.check_nothing_lost();
@@ -210,14 +211,14 @@
     }
 }
 
-fn in_threads(schedules: u64, play: impl Fn(u64) + Sync + std::panic::RefUnwindSafe) {
+fn in_threads(schedules: u64, simulation: impl Fn(u64) + Sync + std::panic::RefUnwindSafe) {
     let threads = 4;
     std::thread::scope(|scope| {
         for thread in 0..threads {
-            let play = &play;
+            let simulation = &simulation;
             scope.spawn(move || {
                 for seed in (thread..schedules).step_by(threads as usize) {
-                    let outcome = std::panic::catch_unwind(|| play(seed));
+                    let outcome = std::panic::catch_unwind(|| simulation(seed));
                     assert!(outcome.is_ok(), "schedule {seed} failed");
                 }
             });
@@ -228,56 +229,56 @@
 #[test]
 fn what_was_acknowledged_last_holds_whatever_is_repeated_or_comes_late() {
     in_threads(SCHEDULES, |seed| {
-        let mut play = Play::new(seed);
+        let mut simulation = Simulation::new(seed);
         let mut evacuated = true;
         let mut last = HallState::default();
-        for _ in 0..play.group.random.random_range(1..5) {
-            let state = play.until_acknowledged(evacuated);
+        for _ in 0..simulation.group.random.random_range(1..5) {
+            let state = simulation.order_until_acknowledged(evacuated);
             assert!(state.revision > last.revision, "{state:?} after {last:?}");
             last = state;
             evacuated = !evacuated;
-            if play.group.random.random_range(0..8) == 0 {
-                play.wipe_one();
+            if simulation.group.random.random_range(0..8) == 0 {
+                simulation.replace_disk();
             }
         }
-        // What lay in frozen daemons comes to the leader at last.
-        play.group.mend();
-        for order in std::mem::take(&mut play.held_up) {
-            play.group.await_leader();
-            play.propose(&order);
-            play.group.run(60);
+        // Orders delayed in frozen daemons finally reach the leader.
+        simulation.group.mend();
+        for order in std::mem::take(&mut simulation.delayed) {
+            simulation.group.await_leader();
+            simulation.propose(&order);
+            simulation.group.run(60);
         }
-        assert_eq!(play.end(), last);
+        assert_eq!(simulation.final_state(), last);
     });
 }
 
 #[test]
 fn orders_that_race_have_one_outcome_that_all_members_share() {
     in_threads(SCHEDULES, |seed| {
-        let mut play = Play::new(seed + 1_000_000);
+        let mut simulation = Simulation::new(seed + 1_000_000);
         let mut changes = 0;
         for _ in 0..6 {
-            let orders = [(0, true), (1, false), (2, play.group.random.random())]
-                .map(|(daemon, evacuated)| (daemon, play.order(daemon, evacuated)));
-            play.disturb();
+            let orders = [(0, true), (1, false), (2, simulation.group.random.random())]
+                .map(|(daemon, evacuated)| (daemon, simulation.order(daemon, evacuated)));
+            simulation.inject_fault();
             let after: Vec<_> = orders
                 .iter()
-                .map(|(_, order)| play.propose(order))
+                .map(|(_, order)| simulation.propose(order))
                 .collect();
-            let span = play.group.random.random_range(20..1_500);
-            play.group.run(span);
+            let span = simulation.group.random.random_range(20..1_500);
+            simulation.group.run(span);
             for ((daemon, order), after) in orders.iter().zip(after) {
-                let verdict = after.and_then(|after| play.answer(*daemon, order, after));
+                let verdict = after.and_then(|after| simulation.answer(*daemon, order, after));
                 let changed = verdict.filter(|v| v.outcome == HallOrderOutcome::Changed);
                 changes += u64::from(changed.is_some());
             }
-            play.spread();
+            simulation.exchange_views();
         }
-        let state = play.end();
-        // Changes whose proposers were not answered may have come to be too.
+        let state = simulation.final_state();
+        // Changes whose proposers received no answer may also have been committed.
         assert!(state.revision.0 >= changes);
         assert_eq!(state.evacuated, state.revision.0 % 2 == 1);
-        for view in &play.views {
+        for view in &simulation.views {
             assert!(view.of(HALL).revision <= state.revision);
         }
     });
--- a/crates/moleroad_gateway/tests/halls.rs
+++ b/crates/moleroad_gateway/tests/halls.rs
@@ -1,4 +1,4 @@
-//! What one daemon knows of halls, and which targets get requests by it.
+//! One daemon's knowledge of halls, and its effect on the choice of targets.
 
 #[path = "support/service.rs"]
 mod service;
@@ -45,7 +45,7 @@
     }
 }
 
-/// An entry that knows a target in each of two halls.
+/// Builds the view of an entry that knows one target in each of two halls.
 fn view() -> View {
     let mut view = View::new(entry());
     let configuration = Configuration {
@@ -63,7 +63,7 @@
     view
 }
 
-fn news(hall: &str, revision: u64, evacuated: bool, age_ms: u64) -> HallUpdates {
+fn updates(hall: &str, revision: u64, evacuated: bool, age_ms: u64) -> HallUpdates {
     let state = HallState {
         revision: HallRevision(revision),
         evacuated,
@@ -71,8 +71,8 @@
     HallUpdates::from([(hall.to_string(), HallUpdate { state, age_ms })])
 }
 
-fn learn(view: &mut View, now: u64, news: &HallUpdates) -> usize {
-    let changes = view.learn_halls(Millis(now), news);
+fn apply_updates(view: &mut View, now: u64, updates: &HallUpdates) -> usize {
+    let changes = view.merge_halls(Millis(now), updates);
     view.refresh_candidates(Millis(now), &settings());
     changes.len()
 }
@@ -81,21 +81,33 @@
 fn when_a_hall_was_taken_back_is_known_as_exactly_as_any_news_tells() {
     let mut view = view();
     assert_eq!(view.restored_at("hall-a"), None);
-    assert_eq!(learn(&mut view, 5_000, &news("hall-a", 1, true, 100)), 1);
+    assert_eq!(
+        apply_updates(&mut view, 5_000, &updates("hall-a", 1, true, 100)),
+        1
+    );
     assert!(view.is_evacuated("hall-a") && !view.is_evacuated("hall-b"));
     assert_eq!(view.restored_at("hall-a"), None);
-    // The push has no age; a greeting that tells the same has one.
-    assert_eq!(learn(&mut view, 9_000, &news("hall-a", 2, false, 0)), 1);
+    // The push has no age; a gossip message with the same state has one.
+    assert_eq!(
+        apply_updates(&mut view, 9_000, &updates("hall-a", 2, false, 0)),
+        1
+    );
     assert_eq!(view.restored_at("hall-a"), Some(Millis(9_000)));
-    assert_eq!(learn(&mut view, 9_100, &news("hall-a", 2, false, 250)), 0);
+    assert_eq!(
+        apply_updates(&mut view, 9_100, &updates("hall-a", 2, false, 250)),
+        0
+    );
     assert_eq!(view.restored_at("hall-a"), Some(Millis(8_850)));
-    // Older news, told late, changes nothing.
-    assert_eq!(learn(&mut view, 9_200, &news("hall-a", 1, true, 0)), 0);
+    // Older state that arrives late changes nothing.
+    assert_eq!(
+        apply_updates(&mut view, 9_200, &updates("hall-a", 1, true, 0)),
+        0
+    );
     assert_eq!(view.restored_at("hall-a"), Some(Millis(8_850)));
-    let told = view.hall_updates(Millis(9_350));
-    assert_eq!(told, news("hall-a", 2, false, 500));
-    assert!(view.has_no_newer_halls_than(&told));
-    assert!(!view.has_no_newer_halls_than(&news("hall-a", 1, true, 0)));
+    let reported = view.hall_updates(Millis(9_350));
+    assert_eq!(reported, updates("hall-a", 2, false, 500));
+    assert!(view.has_no_newer_halls_than(&reported));
+    assert!(!view.has_no_newer_halls_than(&updates("hall-a", 1, true, 0)));
     assert!(!view.has_no_newer_halls_than(&HallUpdates::new()));
 }
 
@@ -109,7 +121,7 @@
             .places(&AllowedRegions::all())
     };
     assert_eq!(targets(&view), 8);
-    learn(&mut view, 2_000, &news("hall-a", 1, true, 0));
+    apply_updates(&mut view, 2_000, &updates("hall-a", 1, true, 0));
     let places = &view.services["plain"];
     assert_eq!(places.targets.places(&AllowedRegions::all()), 4);
     assert_eq!(
@@ -125,44 +137,44 @@
             other => panic!("{other:?}"),
         }
     }
-    // One that was looked at before the news came is not taken either.
+    // A target that was probed before the update is not chosen either.
     let looked_at: Vec<Candidate> = places.targets.candidates().to_vec();
     let best = places.targets.best_of(Millis(2_000), needs, &looked_at);
     assert_eq!(best.unwrap().id.as_str(), "i-bb");
-    // Nor is a place that was granted there before.
+    // A slot that was granted there before is no longer eligible.
     assert!(!places.targets.is_open(&TargetId::new("i-a"), needs));
     assert!(places.targets.is_open(&TargetId::new("i-bb"), needs));
     assert_eq!(places.targets.count_not_evacuated(), 1);
 
-    learn(&mut view, 3_000, &news("hall-b", 1, true, 0));
+    apply_updates(&mut view, 3_000, &updates("hall-b", 1, true, 0));
     let places = &view.services["plain"];
     assert!(places.targets.all_evacuated(needs) && !places.targets.any_eligible(needs));
     assert_eq!(
         places.targets.choose(Millis(3_000), needs, 1),
         Choice::Nobody
     );
-    learn(&mut view, 4_000, &news("hall-a", 2, false, 0));
+    apply_updates(&mut view, 4_000, &updates("hall-a", 2, false, 0));
     assert_eq!(targets(&view), 4);
 }
 
 #[test]
 fn a_service_whose_hall_in_the_allowed_region_is_evacuated_is_refused_at_once() {
     let mut view = view();
-    learn(&mut view, 2_000, &news("hall-a", 1, true, 0));
+    apply_updates(&mut view, 2_000, &updates("hall-a", 1, true, 0));
     let targets = &view.services["plain"].targets;
     let elsewhere = AllowedRegions::only([Region::new("other")]);
     let needs = Requirements {
         regions: Some(&elsewhere),
         ..Requirements::default()
     };
-    // No target at all there: that is not an evacuation.
+    // There is no target at all, which is not an evacuation.
     assert!(!targets.all_evacuated(needs));
     let here = AllowedRegions::only([Region::new("r")]);
     let needs = Requirements {
         regions: Some(&here),
         ..Requirements::default()
     };
-    assert!(!targets.all_evacuated(needs), "the other hall serves");
+    assert!(!targets.all_evacuated(needs), "the other hall has targets");
 }
 
 #[test]
@@ -170,14 +182,14 @@
     let mut view = view();
     let needs = Requirements::default();
     assert!(view.count_diversions("plain", needs).halls.is_empty());
-    learn(&mut view, 2_000, &news("hall-a", 1, true, 0));
+    apply_updates(&mut view, 2_000, &updates("hall-a", 1, true, 0));
     assert_eq!(view.count_diversions("plain", needs).first.len(), 1);
     for _ in 0..4 {
-        let kept_away = view.count_diversions("plain", needs);
-        assert!(kept_away.first.is_empty() && kept_away.halls.contains("hall-a"));
+        let diverted = view.count_diversions("plain", needs);
+        assert!(diverted.first.is_empty() && diverted.halls.contains("hall-a"));
     }
-    let changes = view.learn_halls(Millis(3_000), &news("hall-a", 2, false, 0));
-    assert_eq!(changes[0].kept_away, 5);
+    let changes = view.merge_halls(Millis(3_000), &updates("hall-a", 2, false, 0));
+    assert_eq!(changes[0].diverted, 5);
     view.refresh_candidates(Millis(3_000), &settings());
     assert!(view.count_diversions("plain", needs).halls.is_empty());
     assert!(view.count_diversions("unknown", needs).halls.is_empty());
--- a/crates/moleroad_gateway/tests/limits.rs
+++ b/crates/moleroad_gateway/tests/limits.rs
@@ -1,4 +1,4 @@
-//! What an owner grants to targets that named limits, without a network.
+//! Grants that an owner issues for targets with named limits, without a network.
 
 use moleroad_directory::prelude::{RequestRate, TargetId};
 use moleroad_gateway::limit_grants::LimitGrants;
@@ -18,7 +18,7 @@
     assert!(take(1_000, "b"), "another target");
     assert_eq!(grants.min_available(Millis(1_500)), Some(0));
     assert!(!take(1_999, "a") && take(2_000, "a"));
-    // What is full again is forgotten with the next question.
+    // A bucket that is full again is dropped with the next request.
     assert!(take(60_000, "c"));
     assert_eq!(grants.min_available(Millis(60_000)), Some(0));
     assert_eq!(grants.min_available(Millis(61_000)), Some(1));
@@ -30,8 +30,8 @@
     let take = |at, per_s| grants.take(Millis(at), &id("a"), RequestRate::per_s(per_s));
     let given = |at, per_s| (0..50).filter(|_| take(at, per_s)).count();
     assert_eq!(given(1_000, 50.0), 10);
-    assert_eq!(given(1_100, 1.0), 1, "what came up before is cut");
+    assert_eq!(given(1_100, 1.0), 1, "accumulated tokens are capped");
     assert_eq!(given(2_100, 1.0), 1);
-    assert_eq!(given(2_300, 50.0), 0, "a fifth of a request came up");
+    assert_eq!(given(2_300, 50.0), 0, "only a fifth of a token accumulated");
     assert_eq!(given(2_400, 50.0), 5);
 }
--- a/crates/moleroad_gateway/tests/quarantine.rs
+++ b/crates/moleroad_gateway/tests/quarantine.rs
@@ -1,5 +1,5 @@
-//! What an entry does with a request once targets ended under it: one that comes,
-//! one that waits for a place, one that is at a target.
+//! Requests under which targets terminated: how an entry handles one that arrives, one
+//! that waits for a slot, and one that is at a target.
 
 mod support;
 
@@ -20,9 +20,9 @@
 use std::time::Duration;
 use support::{ask, entry, entry_with_disk, folder, request};
 
-/// Longest wait for what must happen.
-const LONGEST: Duration = Duration::from_secs(20);
-/// The request of [`support::ask`] and [`support::request`].
+/// Timeout for events that must happen.
+const TIMEOUT: Duration = Duration::from_secs(20);
+/// The fingerprint of [`support::ask`] and [`support::request`].
 const REQUEST: RequestFingerprint = RequestFingerprint([0; 16]);
 
 fn end(number: usize) -> TerminationReport {
@@ -37,19 +37,23 @@
     }
 }
 
-/// Lets the entry hear that so many targets ended under the request.
-fn hear(node: &Node, ends: usize) {
+/// Reports to the entry that this many targets terminated under the request.
+fn report_terminations(node: &Node, ends: usize) {
     node.receive_target_ends((0..ends).map(end).collect());
 }
 
 #[tokio::test]
 async fn a_request_is_refused_for_an_hour_after_the_third_end_and_not_after_the_second() {
     let node = entry();
-    hear(&node, TERMINATIONS_TO_HOLD - 1);
-    drop(acquire(&node, &ask(&node, None)).await.expect("a place"));
-    hear(&node, TERMINATIONS_TO_HOLD);
+    report_terminations(&node, TERMINATIONS_TO_HOLD - 1);
+    drop(
+        acquire(&node, &ask(&node, None))
+            .await
+            .expect("a free slot"),
+    );
+    report_terminations(&node, TERMINATIONS_TO_HOLD);
     let mut attempts = Attempts::new(node.clone(), request(&node, 1_500));
-    let reason = attempts.next_run(None).await.err().expect("no place");
+    let reason = attempts.next_run(None).await.err().expect("no free slot");
     assert_eq!(attempts.sends(), 0);
     let answer = attempts.give_up(reason);
     assert_eq!(answer.status(), 503);
@@ -61,10 +65,10 @@
     let hour_s = TERMINATION_TTL_MS as f64 / 1_000.0;
     assert!(back_in_s <= hour_s && back_in_s > 0.9 * hour_s);
     let AnswerBody::Whole(Some(body)) = answer.into_body() else {
-        panic!("an answer of our own is whole");
+        panic!("an answer made by the entry has a whole body");
     };
     assert!(body.starts_with(b"MR-6216"));
-    // Another request goes as before.
+    // Another request is accepted as before.
     let mut other = ask(&node, None);
     other.fingerprint = RequestFingerprint([1; 16]);
     assert!(acquire(&node, &other).await.is_ok());
@@ -75,7 +79,7 @@
     let node = entry();
     let mut other = ask(&node, None);
     other.fingerprint = RequestFingerprint([1; 16]);
-    let _only_place = acquire(&node, &other).await.expect("a place");
+    let _only_place = acquire(&node, &other).await.expect("a free slot");
     let waiting = tokio::spawn({
         let (node, ask) = (node.clone(), ask(&node, None));
         async move { acquire(&node, &ask).await.err() }
@@ -83,19 +87,26 @@
     while node.view().services["plain"].waiting() == 0 {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    hear(&node, TERMINATIONS_TO_HOLD);
-    let refused = tokio::time::timeout(LONGEST, waiting).await;
-    let refused = refused.expect("it does not wait on").expect("no panic");
-    assert_eq!(refused.expect("no place").cause, NoPlaceCause::Quarantined);
+    report_terminations(&node, TERMINATIONS_TO_HOLD);
+    let refused = tokio::time::timeout(TIMEOUT, waiting).await;
+    let refused = refused
+        .expect("the request stops waiting")
+        .expect("no panic");
+    assert_eq!(
+        refused.expect("no free slot").cause,
+        NoPlaceCause::Quarantined
+    );
 }
 
 #[tokio::test]
 async fn a_request_that_has_not_begun_at_its_target_is_wanted_there_no_more() {
     let node = entry();
     let attempts = Attempts::new(node.clone(), request(&node, 1_500));
-    let place = acquire(&node, &ask(&node, None)).await.expect("a place");
+    let place = acquire(&node, &ask(&node, None))
+        .await
+        .expect("a free slot");
     assert!(!attempts.is_start_forbidden(&place));
-    hear(&node, TERMINATIONS_TO_HOLD);
+    report_terminations(&node, TERMINATIONS_TO_HOLD);
     assert!(attempts.is_start_forbidden(&place));
 }
 
@@ -103,17 +114,17 @@
 async fn a_request_that_ran_to_a_good_end_lately_is_not_held_and_others_hear_of_it() {
     let node = entry();
     node.note_success(REQUEST);
-    hear(&node, TERMINATIONS_TO_HOLD);
+    report_terminations(&node, TERMINATIONS_TO_HOLD);
     assert!(acquire(&node, &ask(&node, None)).await.is_ok());
-    let (told, _) = node.view().target_ends_since(node.clock.now(), 0);
-    assert_eq!(told.len(), TERMINATIONS_TO_HOLD);
-    assert!(told.iter().all(|end| end.is_excused));
+    let (reports, _) = node.view().target_ends_since(node.clock.now(), 0);
+    assert_eq!(reports.len(), TERMINATIONS_TO_HOLD);
+    assert!(reports.iter().all(|end| end.is_excused));
 }
 
 #[tokio::test]
 async fn a_good_end_that_comes_later_lets_a_held_request_go_again() {
     let node = entry();
-    hear(&node, TERMINATIONS_TO_HOLD);
+    report_terminations(&node, TERMINATIONS_TO_HOLD);
     assert!(acquire(&node, &ask(&node, None)).await.is_err());
     node.note_success(REQUEST);
     assert!(acquire(&node, &ask(&node, None)).await.is_ok());
@@ -136,27 +147,27 @@
     assert!(bytes < 50, "{bytes}");
 }
 
-/// An entry that is its own control group and holds a request that was beside
-/// another held one at each end.
-async fn entry_in_doubt(name: &str) -> Arc<Node> {
+/// Starts an entry that is its own control group and holds a request that ran alongside
+/// another held one at each termination.
+async fn entry_with_doubtful_hold(name: &str) -> Arc<Node> {
     let node = entry_with_disk(&folder(name));
-    let core = node.core.clone().expect("a disk");
+    let core = node.core.clone().expect("a member with a disk");
     while core.read().await.is_err() {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     let address = node.settings.peer_address();
     node.view().leader = Some(LeaderHint { term: 1, address });
-    hear(&node, TERMINATIONS_TO_HOLD);
-    let beside = (0..TERMINATIONS_TO_HOLD).map(|number| TerminationReport {
+    report_terminations(&node, TERMINATIONS_TO_HOLD);
+    let alongside = (0..TERMINATIONS_TO_HOLD).map(|number| TerminationReport {
         request: RequestFingerprint([1; 16]),
         ..end(number)
     });
-    node.receive_target_ends(beside.collect());
+    node.receive_target_ends(alongside.collect());
     node
 }
 
-/// Lets the control group keep the hold.
-async fn keep_hold(node: &Arc<Node>) {
+/// Commits the hold in the control group.
+async fn commit_hold(node: &Arc<Node>) {
     let until = UnixMillis(node.clock.unix_time().0 + TERMINATION_TTL_MS);
     let request = REQUEST;
     let order = ControlCommand::HoldRequest(HoldOrder { request, until });
@@ -165,8 +176,8 @@
 
 #[tokio::test]
 async fn one_copy_of_a_request_in_doubt_is_sent_once_and_the_others_come_back_soon() {
-    let node = entry_in_doubt("one-copy-is-tried").await;
-    keep_hold(&node).await;
+    let node = entry_with_doubtful_hold("one-copy-is-tried").await;
+    commit_hold(&node).await;
     let mut first = request(&node, 5_000);
     first.is_trial = trial::is_granted(&node, &first).await;
     assert!(first.is_trial);
@@ -174,19 +185,19 @@
         assert!(!trial::is_granted(&node, &request(&node, 5_000)).await);
     }
     let refused = acquire(&node, &ask(&node, None)).await.err();
-    let refused = refused.expect("no place");
+    let refused = refused.expect("no free slot");
     assert_eq!(refused.cause, NoPlaceCause::Quarantined);
     assert!(refused.retry_after_ms < TERMINATION_TTL_MS / 100);
     let mut tried = ask(&node, None);
     tried.is_trial = true;
-    let place = acquire(&node, &tried).await.expect("a place");
+    let place = acquire(&node, &tried).await.expect("a free slot");
     let attempts = Attempts::new(node.clone(), first);
     assert!(!attempts.is_start_forbidden(&place));
 }
 
 #[tokio::test]
 async fn a_request_in_no_doubt_or_without_a_leader_or_time_is_not_tried() {
-    let node = entry_in_doubt("no-trial").await;
+    let node = entry_with_doubtful_hold("no-trial").await;
     assert!(!trial::is_granted(&node, &request(&node, 100)).await);
     node.view().leader = None;
     assert!(!trial::is_granted(&node, &request(&node, 5_000)).await);
@@ -195,14 +206,14 @@
         term: 1,
         address: certain.settings.peer_address(),
     });
-    hear(&certain, TERMINATIONS_TO_HOLD);
+    report_terminations(&certain, TERMINATIONS_TO_HOLD);
     assert!(!trial::is_granted(&certain, &request(&certain, 5_000)).await);
 }
 
 #[tokio::test]
 async fn a_good_end_releases_what_the_control_group_keeps() {
-    let node = entry_in_doubt("good-end-releases").await;
-    keep_hold(&node).await;
+    let node = entry_with_doubtful_hold("good-end-releases").await;
+    commit_hold(&node).await;
     node.note_success(REQUEST);
     assert!(acquire(&node, &ask(&node, None)).await.is_ok());
     let now = node.clock.unix_time();
@@ -213,8 +224,8 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    let released = tokio::time::timeout(LONGEST, released).await;
-    released.expect("the control group hears of it");
+    let released = tokio::time::timeout(TIMEOUT, released).await;
+    released.expect("the control group receives the release");
 }
 
 #[test]
@@ -243,34 +254,34 @@
     assert_eq!(state.reviews, Reviews::default());
 }
 
-/// Whether a copy that comes right after the third end is refused although
-/// another entry tells of a good end at once; nothing if the test got no time
-/// meanwhile.
-async fn is_refused_before_the_verdict() -> Option<bool> {
+/// Returns whether a copy that arrives right after the third termination is refused
+/// although another entry reports a success at once; `None` if the test was delayed for
+/// too long in between.
+async fn is_refused_before_decision() -> Option<bool> {
     let node = entry();
-    hear(&node, TERMINATIONS_TO_HOLD);
-    let began = node.clock.now();
+    report_terminations(&node, TERMINATIONS_TO_HOLD);
+    let started_at = node.clock.now();
     let mut attempts = Attempts::new(node.clone(), request(&node, 5_000));
     let excused = (0..TERMINATIONS_TO_HOLD).map(|number| TerminationReport {
         is_excused: true,
         ..end(number)
     });
-    let tell = async {
+    let report = async {
         node.receive_target_ends(excused.collect());
         node.clock.now()
     };
-    let (run, told_at) = tokio::join!(attempts.next_run(None), tell);
+    let (run, reported_at) = tokio::join!(attempts.next_run(None), report);
     let is_refused = matches!(
         run.err(),
         Some(GiveUp::NoPlace(no_place)) if no_place.cause == NoPlaceCause::Quarantined
     );
-    (told_at.since(began) < HOLD_DECISION_MS).then_some(is_refused)
+    (reported_at.since(started_at) < HOLD_DECISION_MS).then_some(is_refused)
 }
 
 #[tokio::test]
 async fn a_copy_that_comes_while_others_tell_of_a_good_end_is_not_refused() {
     loop {
-        if let Some(is_refused) = is_refused_before_the_verdict().await {
+        if let Some(is_refused) = is_refused_before_decision().await {
             assert!(!is_refused);
             return;
         }
--- a/crates/moleroad_gateway/tests/target_notices.rs
+++ b/crates/moleroad_gateway/tests/target_notices.rs
@@ -1,5 +1,5 @@
-//! What an answer says of its target: how it is read, and what it does to
-//! requests that wait for a place there.
+//! Notices in the answers of targets: how they are parsed, and how they affect requests
+//! that wait for a slot there.
 
 mod support;
 
@@ -19,28 +19,29 @@
 use support::{add_target, ask, entry, evacuate, in_flight, request};
 use tokio::task::JoinHandle;
 
-/// A rest that outlasts every wait here, in milliseconds.
-const LONG_MS: u64 = 60_000;
-/// A rest that ends while a request waits, in milliseconds.
-const SHORT_MS: u64 = 150;
+/// A backoff longer than every wait in these tests, in milliseconds.
+const LONG_BACKOFF_MS: u64 = 60_000;
+/// A backoff that ends while a request waits, in milliseconds.
+const SHORT_BACKOFF_MS: u64 = 150;
 
 fn address_of(last: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 2], last))
 }
 
-/// Lets the target at that port ask this entry for rest.
-fn rest(node: &Node, id: &str, port: u16, rest_ms: u64) -> Option<Millis> {
+/// Lets the target at that port ask this entry to back off.
+fn request_backoff(node: &Node, id: &str, port: u16, backoff_ms: u64) -> Option<Millis> {
     let from = Responder {
         address: address_of(port),
         target: TargetId::new(id),
         born_ms: 0,
     };
     let now = node.clock.now();
-    node.view().rest_target(now, from, 1, rest_ms)
+    node.view().record_backoff(now, from, 1, backoff_ms)
 }
 
-/// Looks at candidates and the queue until the request is done, as the process does.
-async fn keep_house(node: &Node) {
+/// Refreshes candidates and serves the queue until the request is done, as the process
+/// does.
+async fn run_housekeeping(node: &Node) {
     loop {
         tokio::time::sleep(Duration::from_millis(5)).await;
         let now = node.clock.now();
@@ -49,10 +50,10 @@
     }
 }
 
-/// The place of a request at the only target, and another that waits for it.
-async fn one_sent_and_one_that_waits(node: &Arc<Node>) -> (Place, JoinHandle<Result<(), NoPlace>>) {
+/// Sends one request to the only target, and queues another that waits for its slot.
+async fn send_one_and_queue_one(node: &Arc<Node>) -> (Place, JoinHandle<Result<(), NoPlace>>) {
     let request = ask(node, None);
-    let first = acquire(node, &request).await.expect("a free place");
+    let first = acquire(node, &request).await.expect("a free slot");
     let waiting = tokio::spawn({
         let node = node.clone();
         async move { acquire(&node, &request).await.map(drop) }
@@ -83,7 +84,7 @@
     for odd in ["1", "true", "", "-1", "0.5", "99999999999999999999"] {
         assert!(leaves(&[odd]), "{odd:?}");
     }
-    assert!(leaves(&["0", "1"]), "one word that it leaves is enough");
+    assert!(leaves(&["0", "1"]), "one leaving header is enough");
     for status in [200, 206, 400, 421, 429, 500, 503] {
         assert!(read(&node, status, &[(name.clone(), "1")]).leaves);
     }
@@ -116,14 +117,14 @@
     }
     let notice = read(&node, 503, &[(RETRY_AFTER, "3")]);
     assert_eq!(
-        (notice.rest_ms, notice.has_unreadable_rest),
+        (notice.backoff_ms, notice.has_unreadable_backoff),
         (Some(3_000), false)
     );
     assert_eq!(read(&node, 503, &[]), TargetNotice::default());
     let both = [(RETRY_AFTER, "3"), (RETRY_AFTER, "-4"), (RETRY_AFTER, "2")];
     let notice = read(&node, 503, &both);
     assert_eq!(
-        (notice.rest_ms, notice.has_unreadable_rest),
+        (notice.backoff_ms, notice.has_unreadable_backoff),
         (Some(3_000), true)
     );
 }
@@ -132,30 +133,34 @@
 async fn what_all_targets_rest_from_is_refused_at_once_until_the_first_has_rested() {
     let node = entry();
     add_target(&node, "i-b", "hall-a", address_of(2));
-    rest(&node, "i-a", 1, 2 * LONG_MS);
-    rest(&node, "i-b", 2, LONG_MS);
+    request_backoff(&node, "i-a", 1, 2 * LONG_BACKOFF_MS);
+    request_backoff(&node, "i-b", 2, LONG_BACKOFF_MS);
     for key in [None, Some("restricted")] {
         let refused = acquire(&node, &ask(&node, key)).await.err();
-        let refused = refused.expect("both rest");
+        let refused = refused.expect("both are in backoff");
         assert_eq!(refused.cause, NoPlaceCause::Resting);
-        assert!(refused.retry_after_ms > LONG_MS - 1_000);
-        assert!(refused.retry_after_ms < LONG_MS + 1_000);
+        assert!(refused.retry_after_ms > LONG_BACKOFF_MS - 1_000);
+        assert!(refused.retry_after_ms < LONG_BACKOFF_MS + 1_000);
     }
     assert_eq!(node.view().services["plain"].waiting(), 0);
     let mut attempts = Attempts::new(node.clone(), request(&node, 1_500));
-    let reason = attempts.next_run(None).await.err().expect("both rest");
+    let reason = attempts
+        .next_run(None)
+        .await
+        .err()
+        .expect("both are in backoff");
     let answer = attempts.give_up(reason);
     assert_eq!(answer.status(), StatusCode::SERVICE_UNAVAILABLE);
     let back_in_s = answer.headers()[RETRY_AFTER].to_str().unwrap();
-    assert!(back_in_s.parse::<f64>().unwrap() > (LONG_MS - 1_000) as f64 / 1_000.0);
+    assert!(back_in_s.parse::<f64>().unwrap() > (LONG_BACKOFF_MS - 1_000) as f64 / 1_000.0);
 }
 
 #[tokio::test]
 async fn a_request_that_waits_is_refused_when_its_last_target_asks_for_rest() {
     let node = entry();
-    let (first, waiting) = one_sent_and_one_that_waits(&node).await;
-    rest(&node, "i-a", 1, LONG_MS);
-    // The place that comes free is not for it any more.
+    let (first, waiting) = send_one_and_queue_one(&node).await;
+    request_backoff(&node, "i-a", 1, LONG_BACKOFF_MS);
+    // The released slot is no longer for the waiting request.
     drop(first);
     let refused = waiting.await.unwrap().expect_err("its target rests");
     assert_eq!(refused.cause, NoPlaceCause::Resting);
@@ -166,11 +171,12 @@
 #[tokio::test]
 async fn a_place_that_was_granted_before_the_wish_is_given_back() {
     let node = entry();
-    let (first, waiting) = one_sent_and_one_that_waits(&node).await;
-    // Granted, and before the one that waits runs, the target asks for rest.
+    let (first, waiting) = send_one_and_queue_one(&node).await;
+    // The slot is granted, and before the waiting request runs, the target asks for a
+    // backoff.
     drop(first);
     assert_eq!(in_flight(&node, "i-a"), 1);
-    rest(&node, "i-a", 1, LONG_MS);
+    request_backoff(&node, "i-a", 1, LONG_BACKOFF_MS);
     let refused = waiting.await.unwrap().expect_err("its target rests");
     assert_eq!(refused.cause, NoPlaceCause::Resting);
     assert_eq!(in_flight(&node, "i-a"), 0);
@@ -179,11 +185,12 @@
 #[tokio::test]
 async fn a_rest_that_ends_in_time_is_waited_for() {
     let node = entry();
-    let until = rest(&node, "i-a", 1, SHORT_MS).expect("it rests");
+    let until =
+        request_backoff(&node, "i-a", 1, SHORT_BACKOFF_MS).expect("the target is in backoff");
     let request = ask(&node, None);
     let place = tokio::select! {
         place = acquire(&node, &request) => place,
-        () = keep_house(&node) => unreachable!(),
+        () = run_housekeeping(&node) => unreachable!(),
     };
     assert!(place.is_ok());
     assert!(node.clock.now() >= until);
@@ -192,7 +199,7 @@
 #[tokio::test]
 async fn a_target_that_is_heard_of_again_rests_on() {
     let node = entry();
-    rest(&node, "i-a", 1, LONG_MS);
+    request_backoff(&node, "i-a", 1, LONG_BACKOFF_MS);
     let now = node.clock.now();
     let mut record = node
         .view()
@@ -203,11 +210,14 @@
         .clone();
     record.sequence += 1;
     node.view().directory.merge_target(now, record, 0);
-    // Also when it was on no list for a while.
+    // The backoff also persists while the target is not registered.
     node.view().services.clear();
     node.view().refresh_candidates(now, &node.settings);
     let refused = acquire(&node, &ask(&node, None)).await.err();
-    assert_eq!(refused.expect("it rests").cause, NoPlaceCause::Resting);
+    assert_eq!(
+        refused.expect("the target is in backoff").cause,
+        NoPlaceCause::Resting
+    );
 }
 
 #[tokio::test]
@@ -219,10 +229,10 @@
     let refused = acquire(&node, &request)
         .await
         .err()
-        .expect("no other target");
+        .expect("there is no other target");
     assert_eq!(refused.cause, NoPlaceCause::TurnedAway);
     assert_eq!(refused.retry_after_ms, 150);
-    // Another target may still take it.
+    // Another target may still accept it.
     add_target(&node, "i-b", "hall-a", address_of(2));
     assert!(acquire(&node, &request).await.is_ok());
 }
@@ -233,7 +243,7 @@
     let mut request = ask(&node, None);
     request.tried = vec![TargetId::new("i-a")];
     (request.was_sent, request.may_have_run) = (true, true);
-    rest(&node, "i-a", 1, LONG_MS);
+    request_backoff(&node, "i-a", 1, LONG_BACKOFF_MS);
     let waiting = tokio::spawn({
         let node = node.clone();
         async move { acquire(&node, &request).await.map(drop) }
@@ -250,7 +260,10 @@
     let node = entry();
     add_target(&node, "i-b", "hall-b", address_of(2));
     evacuate(&node, "hall-b");
-    rest(&node, "i-a", 1, LONG_MS);
+    request_backoff(&node, "i-a", 1, LONG_BACKOFF_MS);
     let refused = acquire(&node, &ask(&node, None)).await.err();
-    assert_eq!(refused.expect("nobody serves").cause, NoPlaceCause::Resting);
+    assert_eq!(
+        refused.expect("no target is available").cause,
+        NoPlaceCause::Resting
+    );
 }
