--- a/crates/moleroad_gateway/src/agent/calls.rs
+++ b/crates/moleroad_gateway/src/agent/calls.rs
@@ -1,4 +1,4 @@
-//! HTTP calls of the agent to its engine and to the origin.
+//! HTTP calls from the agent to its engine and to the origin.
 
 use crate::front::pool::Connection;
 use crate::interface::OutboundRequest;
@@ -11,19 +11,20 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Largest answer that is taken, in bytes.
-const MAX_ANSWER_BYTES: usize = 64 << 20;
+/// Largest response body that is accepted, in bytes.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
-/// Longest pause between looks whether the other side has rested: timers stand
-/// still while the machine is suspended, and a new life of an engine ends the rest.
-const REST_LOOK: Duration = Duration::from_millis(100);
+/// Longest time between two checks whether a requested backoff has ended.
+/// Timers do not advance while the machine is suspended, and a restart of the
+/// engine ends its backoff early.
+const BACKOFF_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Makes a call on a kept connection, once the other side has rested if it asked for
-/// that; `None` when no whole answer came in time.
+/// Makes a call on a pooled connection, after any backoff that the other side
+/// requested. Returns `None` if no complete response arrived within `timeout`.
 pub async fn call(
     node: &Node,
     address: SocketAddr,
-    outside: OutboundRequest,
+    request: OutboundRequest,
     timeout: Duration,
 ) -> Option<(StatusCode, Bytes)> {
     loop {
@@ -31,14 +32,14 @@
         if left.is_zero() {
             break;
         }
-        tokio::time::sleep(left.min(REST_LOOK)).await;
+        tokio::time::sleep(left.min(BACKOFF_CHECK_INTERVAL)).await;
     }
     let calling = async {
         let mut connection = match node.pool.take(address) {
             Some(connection) => connection,
             None => node.pool.connect(address).await.ok()?,
         };
-        let answer = exchange(node, address, outside, &mut connection).await?;
+        let answer = exchange(node, address, request, &mut connection).await?;
         if !answer.closes {
             let pool = node.pool.clone();
             tokio::spawn(async move {
@@ -52,16 +53,17 @@
     tokio::time::timeout(timeout, calling).await.ok().flatten()
 }
 
-/// Makes a call on a connection of its own and closes it; `None` when no whole
-/// answer came in time, or the other side asked for rest.
+/// Makes a call on a new connection and closes it. Returns `None` if no
+/// complete response arrived within `timeout`, or the other side requested a
+/// backoff that has not ended.
 ///
-/// The origin takes fewer connections than there are agents. One that is kept
-/// idle, or is left half open by an agent that lost power, keeps another
-/// agent out.
+/// The origin accepts fewer connections than there are agents. A connection
+/// that is kept idle, or left half open by an agent that lost power, blocks
+/// another agent.
 pub async fn call_once(
     node: &Node,
     address: SocketAddr,
-    outside: OutboundRequest,
+    request: OutboundRequest,
     timeout: Duration,
 ) -> Option<(StatusCode, Bytes)> {
     if node.backoff_left_ms(address) > 0 {
@@ -69,7 +71,7 @@
     }
     let calling = async {
         let mut connection = node.pool.connect(address).await.ok()?;
-        exchange(node, address, outside, &mut connection).await
+        exchange(node, address, request, &mut connection).await
     };
     let answer = tokio::time::timeout(timeout, calling)
         .await
@@ -78,8 +80,8 @@
     Some((answer.status, answer.body))
 }
 
-/// A whole answer.
-struct Answer {
+/// A complete response.
+struct Response {
     status: StatusCode,
     body: Bytes,
     /// Whether the other side closes the connection.
@@ -89,15 +91,15 @@
 async fn exchange(
     node: &Node,
     address: SocketAddr,
-    outside: OutboundRequest,
+    request: OutboundRequest,
     connection: &mut Connection,
-) -> Option<Answer> {
-    let mut message = Request::new(Full::new(Bytes::from(outside.body)));
-    *message.method_mut() = outside.method;
-    *message.uri_mut() = outside.path.parse().ok()?;
+) -> Option<Response> {
+    let mut message = Request::new(Full::new(Bytes::from(request.body)));
+    *message.method_mut() = request.method;
+    *message.uri_mut() = request.path.parse().ok()?;
     let headers = message.headers_mut();
     headers.insert(HOST, HeaderValue::from_str(&address.to_string()).ok()?);
-    if outside.is_document {
+    if request.is_document {
         let kind = HeaderValue::from_static(node.interface.document_type());
         headers.insert(CONTENT_TYPE, kind);
     }
@@ -111,9 +113,12 @@
         status: head.status,
         headers: &head.headers,
     });
-    let body = Limited::new(body, MAX_ANSWER_BYTES).collect().await.ok()?;
+    let body = Limited::new(body, MAX_RESPONSE_BYTES)
+        .collect()
+        .await
+        .ok()?;
     let closing = head.headers.get(hyper::header::CONNECTION);
-    Some(Answer {
+    Some(Response {
         status: head.status,
         body: body.to_bytes(),
         closes: closing.is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"close")),
--- a/crates/moleroad_gateway/src/agent/cold.rs
+++ b/crates/moleroad_gateway/src/agent/cold.rs
@@ -1,9 +1,9 @@
-//! Granting requests to the engine beside the agent while it is cold.
+//! Grants requests to this agent's engine while it is cold.
 //!
-//! Entries that take the engine for cold ask for a grant before each send. The
-//! agent counts every grant, whether or not it takes the engine for cold
-//! itself: entries may know better. What it knows of the engine's state it
-//! tells all entries that ask how busy the engine is.
+//! Entries that consider the engine cold request a grant before each send. The
+//! agent counts every grant, whether or not it considers the engine cold
+//! itself, since entries may know better. It reports what it knows of the
+//! engine's state to all entries that query the engine's load.
 
 use crate::node::Node;
 use crate::peer::{GrantAnswer, GrantRequest};
@@ -12,92 +12,96 @@
 use std::sync::{Mutex, MutexGuard};
 use std::time::Duration;
 
-/// Longest time that an engine counts as cold by what entries say, in
+/// Longest time for which an engine counts as cold as reported by entries, in
 /// milliseconds: an entry may be wrong.
-const LONGEST_COLD_MS: u64 = 60_000;
-/// Time without a sign of life of this process after which it has stood still,
-/// in milliseconds. Longer than at entries: a sign comes with each read of the
-/// engine, and one without answer and the pause after it take nearly a second.
-const AGENT_STOOD_STILL_MS: u64 = 1_500;
-/// Time between two looks at what was granted.
-const SUM_EVERY: Duration = Duration::from_secs(1);
+const MAX_COLD_MS: u64 = 60_000;
+/// Time between two signs of life of this process above which it counts as
+/// suspended, in milliseconds. Longer than at entries: a sign of life comes
+/// with each poll of the engine, and a poll without answer and the pause after
+/// it take nearly a second.
+const SUSPENSION_THRESHOLD_MS: u64 = 1_500;
+/// Time between two log lines on the grants.
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What the agent knows of a cold engine, and the grants that it has.
+/// State of a possibly cold engine and the token bucket of its grants.
 #[derive(Debug, Default)]
 pub struct ColdEngine(Mutex<State>);
 
 #[derive(Debug, Default)]
 struct State {
-    /// When the engine began, if it did in this agent's time.
-    began: Option<Millis>,
-    /// Until when it is cold, as entries heard from it.
-    told_until: Millis,
+    /// When the engine started; `None` if it was running before this agent.
+    started_at: Option<Millis>,
+    /// Until when the engine is cold according to its reports to entries.
+    reported_until: Millis,
     grants: Option<TokenBucket>,
-    /// From when on grants come up: the begin of this process, or when it last
-    /// went on after it stood still.
-    fills_from: Millis,
-    alive_at: Option<Millis>,
+    /// Time from which grants accumulate: the start of this process, or the end
+    /// of its last suspension.
+    refill_from: Millis,
+    last_alive_at: Option<Millis>,
     asked: u32,
     given: u32,
 }
 
-/// How much the engine may get now.
+/// A snapshot of the state of a possibly cold engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ColdState {
-    /// How long ago the engine began, in milliseconds; `None` when it was
-    /// there before.
+    /// Time since the engine started, in milliseconds; `None` if it was running
+    /// before this agent.
     pub age_ms: Option<u64>,
-    /// How much longer it is cold by its own word, in milliseconds.
+    /// Time for which the engine is still cold according to its own reports, in
+    /// milliseconds.
     pub left_ms: u64,
-    /// Grants that can be given now; `None` before any was asked for.
+    /// Number of grants that can be given now; `None` if none was requested
+    /// yet.
     pub grants: Option<u32>,
 }
 
-/// What was asked for and given since the last look.
+/// Numbers of grants since the last call of [`ColdEngine::take_counts`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GrantCounts {
-    /// Grants asked for.
+    /// Grants requested.
     pub asked: u32,
     /// Grants given.
     pub given: u32,
 }
 
 impl ColdEngine {
-    /// Notes that the engine began, or was lost and is there again.
+    /// Records that the engine started, or is reachable again.
     pub fn engine_started(&self, now: Millis) {
-        self.lock().began = Some(now);
+        self.lock().started_at = Some(now);
     }
 
-    /// Notes that this process runs.
+    /// Records that this process is running. After a suspension, grants
+    /// accumulate from zero again.
     pub fn note_alive(&self, now: Millis) {
         let mut state = self.lock();
-        let before = state.alive_at.replace(now);
-        let runs_on = before.is_some_and(|before| now.since(before) <= AGENT_STOOD_STILL_MS);
-        if runs_on {
+        let before = state.last_alive_at.replace(now);
+        let was_running = before.is_some_and(|before| now.since(before) <= SUSPENSION_THRESHOLD_MS);
+        if was_running {
             return;
         }
-        state.fills_from = now;
+        state.refill_from = now;
         if let Some(grants) = &mut state.grants {
             grants.empty(now);
         }
     }
 
-    /// Answers an entry that wants to send one request.
-    pub fn grant(&self, now: Millis, ask: GrantRequest) -> GrantAnswer {
+    /// Answers a grant request of an entry.
+    pub fn grant(&self, now: Millis, request: GrantRequest) -> GrantAnswer {
         self.note_alive(now);
         let mut state = self.lock();
-        let told_until = now + ask.left_ms.min(LONGEST_COLD_MS);
-        if ask.left_ms > 0 {
-            state.told_until = state.told_until.max(told_until);
+        let reported_until = now + request.left_ms.min(MAX_COLD_MS);
+        if request.left_ms > 0 {
+            state.reported_until = state.reported_until.max(reported_until);
         }
         let bound = RateBound {
-            requests_per_s: ask.requests_per_s,
-            most_in_a_second: ask.most_in_a_second,
+            requests_per_s: request.requests_per_s,
+            most_in_a_second: request.most_in_a_second,
         };
         let Some(terms) = bound.terms() else {
             return GrantAnswer { is_given: false };
         };
-        let empty = TokenBucket::new(state.fills_from, terms);
+        let empty = TokenBucket::new(state.refill_from, terms);
         let grants = state.grants.get_or_insert(empty);
         grants.set_params(now, terms);
         let is_given = grants.take(now);
@@ -106,17 +110,17 @@
         GrantAnswer { is_given }
     }
 
-    /// What entries are told.
+    /// Returns the state that is reported to entries.
     pub fn state(&self, now: Millis) -> ColdState {
         let mut state = self.lock();
         ColdState {
-            age_ms: state.began.map(|began| now.since(began)),
-            left_ms: state.told_until.since(now),
+            age_ms: state.started_at.map(|started_at| now.since(started_at)),
+            left_ms: state.reported_until.since(now),
             grants: state.grants.as_mut().map(|grants| grants.free(now)),
         }
     }
 
-    /// What was asked for and given since this was last called.
+    /// Returns the numbers of grants since the last call and resets them.
     pub fn take_counts(&self) -> GrantCounts {
         let mut state = self.lock();
         GrantCounts {
@@ -130,9 +134,9 @@
     }
 }
 
-/// Answers an entry that wants to send one request, and counts it.
-pub fn grant(node: &Node, ask: GrantRequest) -> GrantAnswer {
-    let answer = node.cold_engine.grant(node.clock.now(), ask);
+/// Answers a grant request of an entry and counts it in the metrics.
+pub fn grant(node: &Node, request: GrantRequest) -> GrantAnswer {
+    let answer = node.cold_engine.grant(node.clock.now(), request);
     node.metrics.count("grant_asked");
     if answer.is_given {
         node.metrics.count("grant_given");
@@ -140,19 +144,19 @@
     answer
 }
 
-/// Says once a second what was granted, while anything is asked for.
-pub async fn report_sums(node: std::sync::Arc<Node>) {
+/// Logs the grants once per second while any are requested.
+pub async fn log_grants(node: std::sync::Arc<Node>) {
     loop {
-        tokio::time::sleep(SUM_EVERY).await;
-        let sum = node.cold_engine.take_counts();
-        if sum.asked == 0 {
+        tokio::time::sleep(LOG_INTERVAL).await;
+        let counts = node.cold_engine.take_counts();
+        if counts.asked == 0 {
             continue;
         }
         let state = node.cold_engine.state(node.clock.now());
         log::info!(
             event = "grants",
-            asked = sum.asked,
-            given = sum.given,
+            asked = counts.asked,
+            given = counts.given,
             engine_age_ms = state.age_ms.unwrap_or(0),
             cold_left_ms = state.left_ms;
             ""
--- a/crates/moleroad_gateway/src/agent/digests.rs
+++ b/crates/moleroad_gateway/src/agent/digests.rs
@@ -1,9 +1,9 @@
-//! The digests of a version, from another agent or the origin.
+//! Retrieves the digests of a version from another agent or the origin.
 
-use crate::agent::bring::Wanted;
 use crate::agent::calls::call_once;
 use crate::agent::choice::members;
 use crate::agent::offers;
+use crate::agent::update_loop::WantedVersion;
 use crate::interface::PieceDigests;
 use crate::node::Node;
 use crate::peer::{CatalogOrigin, Offer, SharedDigests};
@@ -15,69 +15,75 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time for the digests of a version.
+/// Time limit for a digests request.
 const DIGESTS_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// The digests of a version: from an agent that has them, or, when it is this
-/// agent's part or nobody has them for a while, from the origin.
+/// Returns the digests of a version. They are requested from an agent that has
+/// them, or from the origin if this agent is responsible for that or no other
+/// agent has had them for `idle_ms`.
 pub async fn digests(
     node: &Arc<Node>,
-    wanted: &Wanted,
+    wanted: &WantedVersion,
     idle_ms: u64,
-    origin_pause: &mut Backoff,
+    origin_backoff: &mut Backoff,
 ) -> Option<PieceDigests> {
     let model = &wanted.model.model;
     if let Some(digests) = node.cached_digests(model, wanted.version) {
         return piece_digests(wanted, SharedDigests(digests));
     }
-    let (holders, is_own_turn, origins) = digest_sources(node, wanted, idle_ms);
-    let mut asked = DigestQueryResult::NoHolderReached;
-    let draw = rand::random::<u32>() as usize;
-    if let Some(holder) = holders.get(draw % holders.len().max(1)) {
+    let (holders, is_responsible, origins) = digest_sources(node, wanted, idle_ms);
+    let mut holder_result = DigestQueryResult::NoHolderReached;
+    let random = rand::random::<u32>() as usize;
+    if let Some(holder) = holders.get(random % holders.len().max(1)) {
         let (model, version) = (wanted.model.model.clone(), wanted.version);
         let call = |client: crate::peer::PeerClient, context| async move {
             client.digests(context, model, version).await
         };
         match node.peers.call(*holder, DIGESTS_TIMEOUT, call).await {
-            Ok(Some(shared)) => return learned(node, wanted, shared),
+            Ok(Some(shared)) => return store_and_forward(node, wanted, shared),
             Ok(None) if holds_pieces(node, *holder, wanted) => {
-                asked = DigestQueryResult::PiecesOnly
+                holder_result = DigestQueryResult::PiecesOnly
             }
             Ok(None) | Err(_) => {}
         }
     }
-    let may_ask_origin =
-        may_ask_origin_for_digests(is_own_turn, asked) && !origin_pause.is_active(node.clock.now());
+    let may_ask_origin = may_ask_origin_for_digests(is_responsible, holder_result)
+        && !origin_backoff.is_active(node.clock.now());
     for origin in origins.iter().filter(|_| may_ask_origin) {
-        let asked = node
+        let request = node
             .interface
             .request_digests(&wanted.model.model, wanted.version);
-        let answer = call_once(node, origin.address, asked, DIGESTS_TIMEOUT).await;
+        let answer = call_once(node, origin.address, request, DIGESTS_TIMEOUT).await;
         if let Some((status, body)) = answer
             && status.is_success()
             && let Some(digests) = node.interface.read_digests(&body)
         {
-            origin_pause.note(node.clock.now(), true, 0);
+            origin_backoff.note(node.clock.now(), true, 0);
             if digests.version == wanted.version {
-                return learned(node, wanted, SharedDigests(digests.digests));
+                return store_and_forward(node, wanted, SharedDigests(digests.digests));
             }
         }
-        origin_pause.note(node.clock.now(), false, rand::random());
+        origin_backoff.note(node.clock.now(), false, rand::random());
     }
     None
 }
 
-/// Whether the agent at `address` has pieces of the version.
-fn holds_pieces(node: &Node, address: SocketAddr, wanted: &Wanted) -> bool {
+/// Returns whether the agent at `address` has pieces of the version.
+fn holds_pieces(node: &Node, address: SocketAddr, wanted: &WantedVersion) -> bool {
     let view = node.view();
     let mut daemons = view.directory.daemons();
-    let holder = daemons.find(|heard| heard.record.peer == address);
-    let map = holder.and_then(|heard| heard.record.pieces_of(&wanted.model.model, wanted.version));
+    let holder = daemons.find(|observed| observed.record.peer == address);
+    let map = holder.and_then(|observed| {
+        observed
+            .record
+            .pieces_of(&wanted.model.model, wanted.version)
+    });
     map.is_some_and(|map| map.count() > 0)
 }
 
-/// The digests of a version, unless they are not as many as its pieces.
-pub fn piece_digests(wanted: &Wanted, shared: SharedDigests) -> Option<PieceDigests> {
+/// Returns the digests of a version, or `None` if their number differs from the
+/// number of its pieces.
+pub fn piece_digests(wanted: &WantedVersion, shared: SharedDigests) -> Option<PieceDigests> {
     let is_complete = shared.0.len() == wanted.model.pieces as usize;
     is_complete.then_some(PieceDigests {
         version: wanted.version,
@@ -85,20 +91,25 @@
     })
 }
 
-/// Keeps digests that are news and passes them on.
-fn learned(node: &Arc<Node>, wanted: &Wanted, shared: SharedDigests) -> Option<PieceDigests> {
+/// Stores new digests and forwards them to the agents below this one.
+fn store_and_forward(
+    node: &Arc<Node>,
+    wanted: &WantedVersion,
+    shared: SharedDigests,
+) -> Option<PieceDigests> {
     let digests = piece_digests(wanted, shared)?;
     node.cache_digests(&wanted.model.model, &digests);
-    let spread = Arc::new(spread_of(node, wanted));
+    let trees = Arc::new(trees_of(node, wanted));
     let offer = Offer::Digests(SharedDigests(digests.digests.clone()));
-    offers::pass_on(node, &spread, wanted, offer);
+    offers::forward_to_children(node, &trees, wanted, offer);
     Some(digests)
 }
 
-/// The trees of a version's pieces over the agents that are known now.
-pub fn spread_of(node: &Node, wanted: &Wanted) -> DistributionTrees {
+/// Returns the distribution trees of a version's parts over the agents known
+/// now.
+pub fn trees_of(node: &Node, wanted: &WantedVersion) -> DistributionTrees {
     let view = node.view();
-    let others = fellows(&view, node.clock.now());
+    let others = live_agents(&view, node.clock.now());
     let members = members(&view.own, &others, wanted);
     let region = origin_region(node, &view);
     let parts = wanted.model.parts();
@@ -107,15 +118,15 @@
 
 fn digest_sources(
     node: &Node,
-    wanted: &Wanted,
+    wanted: &WantedVersion,
     idle_ms: u64,
 ) -> (Vec<SocketAddr>, bool, Vec<CatalogOrigin>) {
-    let spread = spread_of(node, wanted);
+    let trees = trees_of(node, wanted);
     let patience = TakeoverTimeouts::for_pieces(wanted.model.piece_bytes, node.settings.link_mbps);
-    let allowed = spread.permission(wanted.model.digests_part(), patience, idle_ms);
+    let allowed = trees.permission(wanted.model.digests_part(), patience, idle_ms);
     let view = node.view();
     let own = &view.own;
-    let others = fellows(&view, node.clock.now());
+    let others = live_agents(&view, node.clock.now());
     let has_digests = |other: &&&DaemonRecord| {
         let map = other.pieces_of(&wanted.model.model, wanted.version);
         map.is_some()
@@ -128,27 +139,28 @@
     (holders, allowed.from_origin, view.catalog.origins.clone())
 }
 
-/// Region of the origin, if that is known.
+/// Returns the region of the origin, if it is known.
 pub fn origin_region(node: &Node, view: &View) -> Option<String> {
     let origin = view.catalog.origins.first()?;
     let hall = origin.hall.as_ref()?;
     Some(node.settings.region_of(hall).to_string())
 }
 
-/// Silence after which an agent is not counted on, in milliseconds.
-const SILENT_MS: u64 = 3_000;
+/// Time without an update from an agent after which it counts as unreachable,
+/// in milliseconds.
+const AGENT_TIMEOUT_MS: u64 = 3_000;
 
-/// The other agents that bring weights to engines of the same service and were
-/// heard lately.
-pub fn fellows(view: &View, now: Millis) -> Vec<&DaemonRecord> {
+/// Returns the other agents of the same service from which an update arrived
+/// recently.
+pub fn live_agents(view: &View, now: Millis) -> Vec<&DaemonRecord> {
     let own = &view.own;
-    let is_fellow = |heard: &&Observed<DaemonRecord>| {
-        let other = &heard.record;
+    let is_live_agent = |observed: &&Observed<DaemonRecord>| {
+        let other = &observed.record;
         other.role == DaemonRole::Agent
             && other.service == own.service
             && other.instance != own.instance
-            && now.since(heard.at) < SILENT_MS
+            && now.since(observed.at) < AGENT_TIMEOUT_MS
     };
-    let fellows = view.directory.daemons().filter(is_fellow);
-    fellows.map(|heard| &heard.record).collect()
+    let live_agents = view.directory.daemons().filter(is_live_agent);
+    live_agents.map(|observed| &observed.record).collect()
 }
--- a/crates/moleroad_gateway/src/agent/mod.rs
+++ b/crates/moleroad_gateway/src/agent/mod.rs
@@ -1,26 +1,29 @@
-//! The agent: brings the weights of the wanted version to the engine of its
-//! instance, gives pieces to other agents, and tells entries how busy the
-//! engine is.
+//! The agent: loads the wanted version of the weights into the engine of its
+//! instance, serves pieces to other agents, and reports the engine's load to
+//! entries.
 //!
-//! [`watch`] reads the engine, [`bring`] decides what is wanted, [`digests`]
-//! and [`fetch`] get it: [`choice`] says which piece from where, [`transfer`]
-//! brings it, `overtaken` whether a newer version goes first, [`offers`] tells
-//! others of it. [`pieces`] knows what is here, [`store`] puts it into the
-//! engine's store, [`change`] lets the engine take it, [`uploads`] gives pieces
-//! to others, [`calls`] are the HTTP calls to the engine and the origin, [`cold`] grants requests while the engine is cold.
+//! [`watch`] polls the engine. [`update_loop`] decides which version is wanted.
+//! [`digests`] and [`fetch`] retrieve it: [`choice`] selects the next piece and
+//! its source, [`transfer`] retrieves one piece, `superseded` decides whether
+//! to abandon a version for a newer one, and [`offers`] announces pieces to
+//! other agents. [`pieces`] tracks which pieces this agent has, [`store`]
+//! writes them to the engine's store, [`switch`] makes the engine load them,
+//! and [`uploads`] serves pieces to other agents. [`calls`] makes the HTTP
+//! calls to the engine and the origin, and [`cold`] grants requests while the
+//! engine is cold.
 
-pub mod bring;
 pub mod calls;
-pub mod change;
 pub mod choice;
 pub mod cold;
 pub mod digests;
 pub mod fetch;
 pub mod offers;
-mod overtaken;
 pub mod pieces;
 pub mod store;
+mod superseded;
+pub mod switch;
 pub mod transfer;
+pub mod update_loop;
 pub mod uploads;
 pub mod watch;
 
@@ -30,6 +33,6 @@
 /// Starts the tasks of an agent.
 pub fn start(node: &Arc<Node>) {
     tokio::spawn(watch::watch(node.clone()));
-    tokio::spawn(bring::bring(node.clone()));
-    tokio::spawn(cold::report_sums(node.clone()));
+    tokio::spawn(update_loop::run(node.clone()));
+    tokio::spawn(cold::log_grants(node.clone()));
 }
--- a/crates/moleroad_gateway/src/agent/offers.rs
+++ b/crates/moleroad_gateway/src/agent/offers.rs
@@ -1,11 +1,13 @@
-//! Offers: who offered which piece to this agent, and telling the agents below
-//! it in the tree of a piece ([`DistributionTrees`]) what it has.
+//! Offers of pieces: remembers the offers of other agents, and announces the
+//! parts of a version that this agent has to the agents below it in the part's
+//! tree ([`DistributionTrees`]).
 //!
-//! An offer arrives within milliseconds, news by way of relays after some
-//! hundred. Whoever misses an offer still finds the piece by the directory.
+//! An offer arrives within milliseconds, a directory update through relays
+//! takes some hundred. An agent that misses an offer still finds the piece
+//! through the directory.
 
-use crate::agent::bring::Wanted;
-use crate::agent::digests::{piece_digests, spread_of};
+use crate::agent::digests::{piece_digests, trees_of};
+use crate::agent::update_loop::WantedVersion;
 use crate::node::Node;
 use crate::peer::{CatalogModel, Offer, PeerClient, SharedDigests};
 use futures::StreamExt;
@@ -17,79 +19,84 @@
 use std::sync::{Arc, MutexGuard};
 use std::time::Duration;
 
-/// Time for an agent to take an offer; one that does not is passed over and
-/// the agents below it are told instead.
+/// Time limit for an agent to accept an offer. An agent that does not is
+/// skipped, and the offer is sent to its children in the tree instead.
 const OFFER_TIMEOUT: Duration = Duration::from_millis(300);
-/// Agents that are remembered to have offered one piece.
-const MOST_OFFERS: usize = 3;
-/// Versions whose offers are remembered: one that is being taken, one that is
-/// fetched and one that was named behind it.
-const MOST_VERSIONS: usize = 3;
+/// Maximum number of agents that are remembered per offered piece.
+const MAX_OFFERS_PER_PIECE: usize = 3;
+/// Number of versions whose offers are remembered: one that is being loaded,
+/// one that is being fetched and one that was named after it.
+const MAX_VERSIONS: usize = 3;
 
-/// Who offered which piece, by version.
+/// Agents that offered pieces, by version and piece.
 #[derive(Debug, Default)]
 pub struct Offers {
     versions: BTreeMap<u64, BTreeMap<u32, Vec<SocketAddr>>>,
-    /// When agents last said that they draw a piece from the origin, by version.
-    coming: BTreeMap<u64, BTreeMap<u32, Millis>>,
+    /// When an agent last announced that it fetches a piece from the origin, by
+    /// version and piece.
+    announced: BTreeMap<u64, BTreeMap<u32, Millis>>,
 }
 
 impl Offers {
-    /// Remembers that the agent at `from` has a piece.
+    /// Records that the agent at `from` has a piece.
     pub fn add(&mut self, version: u64, piece: u32, from: SocketAddr) {
         let pieces = self.versions.entry(version).or_default();
         let offers = pieces.entry(piece).or_default();
-        if !offers.contains(&from) && offers.len() < MOST_OFFERS {
+        if !offers.contains(&from) && offers.len() < MAX_OFFERS_PER_PIECE {
             offers.push(from);
         }
-        while self.versions.len() > MOST_VERSIONS {
+        while self.versions.len() > MAX_VERSIONS {
             self.versions.pop_first();
         }
     }
 
-    /// Remembers that an agent draws a piece from the origin.
-    pub fn announce(&mut self, now: Millis, version: u64, piece: u32) {
-        self.coming.entry(version).or_default().insert(piece, now);
-        while self.coming.len() > MOST_VERSIONS {
-            self.coming.pop_first();
+    /// Records that an agent fetches a piece from the origin.
+    pub fn add_announcement(&mut self, now: Millis, version: u64, piece: u32) {
+        self.announced
+            .entry(version)
+            .or_default()
+            .insert(piece, now);
+        while self.announced.len() > MAX_VERSIONS {
+            self.announced.pop_first();
         }
     }
 
-    /// When an agent last said that it draws the piece from the origin.
+    /// Returns when an agent last announced that it fetches the piece from the
+    /// origin.
     pub fn announced_at(&self, version: u64, piece: u32) -> Option<Millis> {
-        self.coming.get(&version)?.get(&piece).copied()
+        self.announced.get(&version)?.get(&piece).copied()
     }
 
-    /// Agents that offered a piece, the first one first.
-    pub fn of(&self, version: u64, piece: u32) -> &[SocketAddr] {
+    /// Returns the agents that offered a piece, in the order of their offers.
+    pub fn offered_by(&self, version: u64, piece: u32) -> &[SocketAddr] {
         let pieces = self.versions.get(&version);
         let offers = pieces.and_then(|pieces| pieces.get(&piece));
         offers.map_or(&[], Vec::as_slice)
     }
 
-    /// The highest piece of a version that was offered.
-    pub fn newest(&self, version: u64) -> Option<u32> {
+    /// Returns the highest piece of a version that was offered.
+    pub fn highest_piece(&self, version: u64) -> Option<u32> {
         let pieces = self.versions.get(&version)?;
         pieces.last_key_value().map(|(piece, _)| *piece)
     }
 
-    /// Forgets what the agent at `from` offered: it cannot be reached.
+    /// Removes all offers of the agent at `from`, which is unreachable.
     pub fn forget(&mut self, from: SocketAddr) {
         let pieces = self.versions.values_mut().flat_map(BTreeMap::values_mut);
         pieces.for_each(|offers| offers.retain(|offer| *offer != from));
     }
 }
 
-/// The offers that this agent remembers.
+/// Locks the offers that this agent remembers.
 pub fn offers(node: &Node) -> MutexGuard<'_, Offers> {
     node.offers
         .lock()
         .unwrap_or_else(|error| error.into_inner())
 }
 
-/// Takes an offer of another agent. What concerns an unknown model is dropped:
-/// it is found by the directory once the model is known.
-pub fn take(node: &Arc<Node>, model: &str, version: u64, offer: Offer, from: SocketAddr) {
+/// Handles an offer of another agent. Offers for an unknown model are dropped:
+/// the directory lists the parts once the model is known.
+pub fn receive(node: &Arc<Node>, model: &str, version: u64, offer: Offer, from: SocketAddr) {
     let known = {
         let view = node.view();
         let mut models = view.catalog.models.iter();
@@ -101,97 +108,102 @@
     match offer {
         Offer::Piece(piece) if piece < model.pieces => offers(node).add(version, piece, from),
         Offer::Coming(piece) if piece < model.pieces => {
-            offers(node).announce(node.clock.now(), version, piece);
+            offers(node).add_announcement(node.clock.now(), version, piece);
             return;
         }
         Offer::Piece(_) | Offer::Coming(_) => return,
-        Offer::Digests(shared) => take_digests(node, model, version, shared),
+        Offer::Digests(shared) => receive_digests(node, model, version, shared),
     }
     node.offered.notify_waiters();
 }
 
-/// Keeps digests and passes them on, if they are news.
-fn take_digests(node: &Arc<Node>, model: CatalogModel, version: u64, shared: SharedDigests) {
+/// Stores digests and forwards them, unless they are known already.
+fn receive_digests(node: &Arc<Node>, model: CatalogModel, version: u64, shared: SharedDigests) {
     if node.cached_digests(&model.model, version).is_some() {
         return;
     }
-    let wanted = Wanted {
+    let wanted = WantedVersion {
         model,
         version,
         named_at: None,
     };
     if let Some(digests) = piece_digests(&wanted, shared) {
         node.cache_digests(&wanted.model.model, &digests);
-        let spread = Arc::new(spread_of(node, &wanted));
+        let trees = Arc::new(trees_of(node, &wanted));
         let offer = Offer::Digests(SharedDigests(digests.digests));
-        pass_on(node, &spread, &wanted, offer);
+        forward_to_children(node, &trees, &wanted, offer);
     }
 }
 
-/// Tells the agents below this one what it has of a version.
-pub fn pass_on(node: &Arc<Node>, spread: &Arc<DistributionTrees>, wanted: &Wanted, offer: Offer) {
-    let telling = Telling::new(node, spread, wanted, offer);
+/// Sends an offer to the agents below this one in the part's tree.
+pub fn forward_to_children(
+    node: &Arc<Node>,
+    trees: &Arc<DistributionTrees>,
+    wanted: &WantedVersion,
+    offer: Offer,
+) {
+    let announcement = Announcement::new(node, trees, wanted, offer);
     let own = node.view().own.instance.clone();
-    let below = telling.children(&own);
-    tokio::spawn(telling.tell(below));
+    let children = announcement.children(&own);
+    tokio::spawn(announcement.send(children));
 }
 
-/// Tells those who reckon with this agent's draw of a piece from the origin that
-/// it comes, or that it is here.
-pub fn tell_of_draw(
+/// Sends an announcement that this agent fetches a piece from the origin, or
+/// now has it, to the agents that depend on that.
+pub fn announce_origin_fetch(
     node: &Arc<Node>,
-    spread: &Arc<DistributionTrees>,
-    wanted: &Wanted,
+    trees: &Arc<DistributionTrees>,
+    wanted: &WantedVersion,
     piece: u32,
     offer: Offer,
 ) {
-    let told = spread.told_of_draw(piece).into_iter().cloned().collect();
-    let telling = Telling::new(node, spread, wanted, offer);
-    tokio::spawn(telling.tell(told));
+    let recipients = trees.told_of_draw(piece).into_iter().cloned().collect();
+    let announcement = Announcement::new(node, trees, wanted, offer);
+    tokio::spawn(announcement.send(recipients));
 }
 
-/// An offer on its way to the agents below this one.
-struct Telling {
+/// An offer to be sent to other agents.
+struct Announcement {
     node: Arc<Node>,
-    spread: Arc<DistributionTrees>,
+    trees: Arc<DistributionTrees>,
     model: CatalogModel,
     version: u64,
     offer: Offer,
 }
 
-impl Telling {
+impl Announcement {
     fn new(
         node: &Arc<Node>,
-        spread: &Arc<DistributionTrees>,
-        wanted: &Wanted,
+        trees: &Arc<DistributionTrees>,
+        wanted: &WantedVersion,
         offer: Offer,
     ) -> Self {
         Self {
             node: node.clone(),
-            spread: spread.clone(),
+            trees: trees.clone(),
             model: wanted.model.clone(),
             version: wanted.version,
             offer,
         }
     }
 
-    /// Tells these agents, and in place of those that cannot be told their
-    /// children.
-    async fn tell(self, agents: Vec<InstanceId>) {
+    /// Sends the offer to `agents`, and to the children of those that cannot be
+    /// reached.
+    async fn send(self, agents: Vec<InstanceId>) {
         let mut calls = FuturesUnordered::new();
-        calls.extend(agents.into_iter().map(|agent| self.tell_one(agent)));
-        while let Some((agent, is_told)) = calls.next().await {
-            if !is_told {
+        calls.extend(agents.into_iter().map(|agent| self.send_one(agent)));
+        while let Some((agent, is_received)) = calls.next().await {
+            if !is_received {
                 calls.extend(
                     self.children(&agent)
                         .into_iter()
-                        .map(|child| self.tell_one(child)),
+                        .map(|child| self.send_one(child)),
                 );
             }
         }
     }
 
-    /// The part of the version that the offer is about, as its tree counts it.
+    /// Returns the number of the offered part in the distribution trees.
     fn part(&self) -> u32 {
         match self.offer {
             Offer::Piece(piece) | Offer::Coming(piece) => piece,
@@ -200,15 +212,15 @@
     }
 
     fn children(&self, of: &InstanceId) -> Vec<InstanceId> {
-        let children = self.spread.children(of, self.part());
+        let children = self.trees.children(of, self.part());
         children.into_iter().cloned().collect()
     }
 
-    async fn tell_one(&self, agent: InstanceId) -> (InstanceId, bool) {
+    async fn send_one(&self, agent: InstanceId) -> (InstanceId, bool) {
         let Some(address) = self.address_of(&agent) else {
             return (agent, false);
         };
-        if self.has_it(&agent) {
+        if self.has_piece(&agent) {
             return (agent, true);
         }
         let own = self.node.settings.peer_address();
@@ -217,24 +229,25 @@
         let call = |client: PeerClient, context| async move {
             client.offer(context, model, version, offer, own).await
         };
-        let told = self.node.peers.call(address, OFFER_TIMEOUT, call).await;
-        (agent, told.is_ok())
+        let answer = self.node.peers.call(address, OFFER_TIMEOUT, call).await;
+        (agent, answer.is_ok())
     }
 
     fn address_of(&self, agent: &InstanceId) -> Option<SocketAddr> {
         let view = self.node.view();
-        let heard = view.directory.daemon(agent);
-        heard.map(|heard| heard.record.peer)
+        let observed = view.directory.daemon(agent);
+        observed.map(|observed| observed.record.peer)
     }
 
-    /// Whether the agent is known to have the piece.
-    fn has_it(&self, agent: &InstanceId) -> bool {
+    /// Returns whether the agent is known to have the offered piece.
+    fn has_piece(&self, agent: &InstanceId) -> bool {
         let (Offer::Piece(piece) | Offer::Coming(piece)) = self.offer else {
             return false;
         };
         let view = self.node.view();
-        let heard = view.directory.daemon(agent);
-        let map = heard.and_then(|heard| heard.record.pieces_of(&self.model.model, self.version));
+        let observed = view.directory.daemon(agent);
+        let map = observed
+            .and_then(|observed| observed.record.pieces_of(&self.model.model, self.version));
         map.is_some_and(|map| map.has(piece))
     }
 }
--- a/crates/moleroad_gateway/src/agent/pieces.rs
+++ b/crates/moleroad_gateway/src/agent/pieces.rs
@@ -1,5 +1,5 @@
-//! The pieces that this agent has: in memory while they are fetched and not
-//! yet taken, in the engine's store afterwards.
+//! The pieces that this agent has: in memory from the fetch until the engine
+//! has loaded them, in the engine's store afterwards.
 
 use crate::node::Node;
 use crate::peer::CatalogModel;
@@ -8,14 +8,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::MutexGuard;
 
-/// Pieces in memory, by version and number.
+/// Pieces held in memory, and the state of the engine's store.
 #[derive(Debug, Default)]
 pub struct PieceMemory {
     pieces: BTreeMap<(u64, u32), Bytes>,
-    /// Pieces that the engine's store took.
+    /// Pieces that were written to the engine's store, by version and number.
     staged: BTreeSet<(u64, u32)>,
-    /// Version that the engine is about to take; 0 for none.
-    taking: u64,
+    /// Version that the engine is about to load; 0 if none.
+    loading: u64,
 }
 
 fn memory(node: &Node) -> MutexGuard<'_, PieceMemory> {
@@ -24,8 +24,9 @@
         .unwrap_or_else(|error| error.into_inner())
 }
 
-/// Changes the maps that others are told of.
-fn change_maps(node: &Node, change: impl FnOnce(&mut Vec<PieceMap>)) {
+/// Updates the piece maps in this agent's record, and publishes them if they
+/// changed.
+fn update_maps(node: &Node, change: impl FnOnce(&mut Vec<PieceMap>)) {
     let mut view = node.view();
     let before = view.own.pieces.clone();
     change(&mut view.own.pieces);
@@ -43,26 +44,27 @@
     &mut maps[at]
 }
 
-/// Tells others that pieces of the version will be here.
-pub fn open_map(node: &Node, model: &CatalogModel, version: u64) {
-    change_maps(node, |maps| {
+/// Adds an empty map for the version, so that other agents know that this one
+/// will have its pieces.
+pub fn add_empty_map(node: &Node, model: &CatalogModel, version: u64) {
+    update_maps(node, |maps| {
         map_of(maps, model, version);
     });
 }
 
-/// Keeps a piece that was checked.
-pub fn keep(node: &Node, model: &CatalogModel, version: u64, piece: u32, bytes: Bytes) {
+/// Stores a verified piece in memory.
+pub fn insert_verified(node: &Node, model: &CatalogModel, version: u64, piece: u32, bytes: Bytes) {
     memory(node).pieces.insert((version, piece), bytes);
-    change_maps(node, |maps| map_of(maps, model, version).set(piece, true));
+    update_maps(node, |maps| map_of(maps, model, version).set(piece, true));
 }
 
-/// Notes a piece that was found in the engine's store and checked.
-pub fn keep_staged(node: &Node, model: &CatalogModel, version: u64, piece: u32) {
-    note_staged(node, version, piece);
-    change_maps(node, |maps| map_of(maps, model, version).set(piece, true));
+/// Records a verified piece that was found in the engine's store.
+pub fn record_staged_piece(node: &Node, model: &CatalogModel, version: u64, piece: u32) {
+    mark_staged(node, version, piece);
+    update_maps(node, |maps| map_of(maps, model, version).set(piece, true));
 }
 
-/// Pieces of the version that are not here.
+/// Returns the pieces of the version that this agent does not have.
 pub fn missing(node: &Node, model: &CatalogModel, version: u64) -> Vec<u32> {
     let view = node.view();
     let map = view.own.pieces_of(&model.model, version);
@@ -70,10 +72,11 @@
     (0..model.pieces).filter(|piece| !has(piece)).collect()
 }
 
-/// An engine that holds a version has its pieces in store too, unless they
-/// turned bad or were lost: whoever takes one checks it.
-pub fn offer_all(node: &Node, model: &CatalogModel, version: u64) {
-    change_maps(node, |maps| {
+/// Marks all pieces of a version that the engine holds as available. They are
+/// in the engine's store unless they were lost or corrupted there, which the
+/// receiver's verification detects.
+pub fn mark_all_available(node: &Node, model: &CatalogModel, version: u64) {
+    update_maps(node, |maps| {
         if maps
             .iter()
             .any(|map| map.model == model.model && map.version >= version)
@@ -85,11 +88,11 @@
     });
 }
 
-/// The engine's store is about to hold `version`: what it held of earlier ones
-/// is overwritten, and only what is in memory is left of them.
+/// Prepares the piece maps for staging `version`. Staging overwrites earlier
+/// versions in the engine's store, so only their pieces in memory remain.
 pub fn begin_staging(node: &Node, version: u64) {
     let kept: BTreeSet<(u64, u32)> = memory(node).pieces.keys().copied().collect();
-    change_maps(node, |maps| {
+    update_maps(node, |maps| {
         for map in maps.iter_mut().filter(|map| map.version < version) {
             let pieces = map.bits.len() as u32 * u64::BITS;
             let lost = (0..pieces).filter(|piece| !kept.contains(&(map.version, *piece)));
@@ -101,48 +104,49 @@
     });
 }
 
-/// These pieces are not here after all.
-pub fn lost(node: &Node, model: &CatalogModel, version: u64, pieces: &[u32]) {
-    change_maps(node, |maps| {
+/// Marks pieces as missing.
+pub fn mark_missing(node: &Node, model: &CatalogModel, version: u64, pieces: &[u32]) {
+    update_maps(node, |maps| {
         let map = map_of(maps, model, version);
         pieces.iter().for_each(|piece| map.set(*piece, false));
     });
 }
 
-/// The version that the engine is about to take.
-pub fn taking(node: &Node) -> Option<u64> {
-    Some(memory(node).taking).filter(|version| *version != 0)
+/// Returns the version that the engine is about to load.
+pub fn loading_version(node: &Node) -> Option<u64> {
+    Some(memory(node).loading).filter(|version| *version != 0)
 }
 
-/// The engine is about to take `version`, and its store is left to that.
-pub fn begin_taking(node: &Node, version: u64) {
-    memory(node).taking = version;
+/// Records that the engine is about to load `version`, for which its store is
+/// reserved from now on.
+pub fn begin_loading(node: &Node, version: u64) {
+    memory(node).loading = version;
 }
 
-/// The engine took `version` or will not.
-pub fn end_taking(node: &Node, version: u64) {
+/// Records that the engine has loaded `version` or will not load it.
+pub fn end_loading(node: &Node, version: u64) {
     let mut memory = memory(node);
-    if memory.taking == version {
-        memory.taking = 0;
+    if memory.loading == version {
+        memory.loading = 0;
     }
 }
 
-/// The engine's store took a piece.
-pub fn note_staged(node: &Node, version: u64, piece: u32) {
+/// Records that a piece was written to the engine's store.
+pub fn mark_staged(node: &Node, version: u64, piece: u32) {
     let mut memory = memory(node);
     memory.staged.retain(|(kept, _)| *kept == version);
     memory.staged.insert((version, piece));
 }
 
-/// The pieces in memory that the engine's store has not taken.
-pub fn not_staged(node: &Node, version: u64) -> Vec<(u32, Bytes)> {
+/// Returns the pieces in memory that are not yet in the engine's store.
+pub fn unstaged(node: &Node, version: u64) -> Vec<(u32, Bytes)> {
     let mut pieces = in_memory(node, version);
     let memory = memory(node);
     pieces.retain(|(piece, _)| !memory.staged.contains(&(version, *piece)));
     pieces
 }
 
-/// The pieces of the version that are in memory.
+/// Returns the pieces of the version that are in memory.
 pub fn in_memory(node: &Node, version: u64) -> Vec<(u32, Bytes)> {
     let memory = memory(node);
     let range = memory.pieces.range((version, 0)..=(version, u32::MAX));
@@ -151,14 +155,14 @@
         .collect()
 }
 
-/// One piece, if it is in memory.
-pub fn from_memory(node: &Node, version: u64, piece: u32) -> Option<Bytes> {
+/// Returns a piece if it is in memory.
+pub fn get(node: &Node, version: u64, piece: u32) -> Option<Bytes> {
     memory(node).pieces.get(&(version, piece)).cloned()
 }
 
-/// Frees the memory of the version and of earlier ones; of those before it
-/// nothing is left.
-pub fn forget_memory(node: &Node, version: u64) {
+/// Frees the memory of the version and of earlier ones, and removes the maps of
+/// earlier versions, of which nothing remains.
+pub fn free_memory(node: &Node, version: u64) {
     memory(node).pieces.retain(|(kept, _), _| *kept > version);
-    change_maps(node, |maps| maps.retain(|map| map.version >= version));
+    update_maps(node, |maps| maps.retain(|map| map.version >= version));
 }
--- /dev/null
+++ b/crates/moleroad_gateway/src/agent/switch.rs
@@ -0,0 +1,225 @@
+//! Switches the engine to staged weights.
+
+use crate::agent::calls::call;
+use crate::agent::digests::live_agents;
+use crate::agent::fetch::Fetched;
+use crate::agent::pieces;
+use crate::agent::store;
+use crate::agent::update_loop::{CHECK_INTERVAL, HeldVersion, WantedVersion, held_version};
+use crate::agent::watch;
+use crate::experiments::Mechanism;
+use crate::interface::StartMode;
+use crate::node::Node;
+use crate::view::View;
+use moleroad_directory::prelude::*;
+use moleroad_directory::target::complete_version;
+use moleroad_rollout::prelude::*;
+use moleroad_types::prelude::{InstanceId, Millis};
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::sync::mpsc;
+
+/// Time that is allowed for entries to learn that the engine accepts no new
+/// requests.
+const SWITCHING_PROPAGATION: Duration = Duration::from_millis(60);
+/// Time limit for the engine to accept an order.
+const ORDER_TIMEOUT: Duration = Duration::from_millis(800);
+/// Time between two checks whether running requests have ended.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Time after which an order without effect is retried, in milliseconds.
+const ORDER_RETRY_MS: u64 = 1_500;
+/// Time for an engine to load weights and for entries to learn of it, in
+/// milliseconds.
+const LOAD_MS: u64 = 450;
+/// Time between the end of the last engine's switch and the deadline of a
+/// version, in milliseconds.
+const SAFETY_MARGIN_MS: u64 = 400;
+/// Ratio of the time for a complete copy to the time at the full rate of the
+/// link.
+const COPY_TIME_RATIO: f64 = 1.4;
+
+/// Outcome of a switch.
+pub enum SwitchOutcome {
+    /// The engine serves the version.
+    Serving,
+    /// Pieces were lost that are no longer in memory either; they must be
+    /// fetched again.
+    Incomplete,
+    /// A newer version was fetched and takes precedence.
+    Superseded(Box<Fetched>),
+}
+
+/// Stages the fetched pieces, waits for this engine's wave, verifies the staged
+/// pieces, orders the engine to load them and waits until it serves the
+/// version.
+pub async fn switch_version(
+    node: &Arc<Node>,
+    fetched: &Fetched,
+    newer: &mut mpsc::Receiver<Fetched>,
+) -> SwitchOutcome {
+    let wanted = &fetched.wanted;
+    // Pieces may have been fetched before the engine has started.
+    while node.view().own.report.is_none() {
+        if let Ok(newer) = newer.try_recv() {
+            return SwitchOutcome::Superseded(Box::new(newer));
+        }
+        tokio::time::sleep(CHECK_INTERVAL).await;
+    }
+    if let HeldVersion::Version(version) = held_version(node, &wanted.model)
+        && version >= wanted.version
+    {
+        return SwitchOutcome::Serving;
+    }
+    pieces::begin_staging(node, wanted.version);
+    store::stage_all(node, wanted, &pieces::unstaged(node, wanted.version)).await;
+    let staged_at = node.clock.now();
+    loop {
+        while !may_switch(node, wanted, staged_at) || is_draining(node) {
+            if let Ok(newer) = newer.try_recv() {
+                return SwitchOutcome::Superseded(Box::new(newer));
+            }
+            tokio::time::sleep(CHECK_INTERVAL).await;
+        }
+        if !store::verify_staged(node, fetched).await {
+            return SwitchOutcome::Incomplete;
+        }
+        watch::set_switching(node, true);
+        tokio::time::sleep(SWITCHING_PROPAGATION).await;
+        drain(node, wanted).await;
+        let is_served = order_until_served(node, wanted).await;
+        watch::set_switching(node, false);
+        if is_served {
+            return SwitchOutcome::Serving;
+        }
+    }
+}
+
+/// Waits until running requests have ended, but no longer than the typical
+/// duration of a request. Requests that still run then are aborted and continue
+/// at another engine.
+async fn drain(node: &Arc<Node>, wanted: &WantedVersion) {
+    let until = node.clock.now() + wanted.model.usual_request_ms;
+    while node.clock.now() < until {
+        if let Some(state) = watch::read(node).await
+            && state.report.running + state.report.queued == 0
+        {
+            return;
+        }
+        tokio::time::sleep(DRAIN_CHECK_INTERVAL).await;
+    }
+}
+
+/// Orders the engine once to load the version and waits until it serves it.
+/// Returns false if the order had no effect within [`ORDER_RETRY_MS`].
+async fn order_until_served(node: &Arc<Node>, wanted: &WantedVersion) -> bool {
+    let mut ordered_at = None;
+    loop {
+        let state = watch::read(node).await;
+        if let Some(state) = &state {
+            watch::publish_report(node, Some(state.report.clone()));
+        }
+        if let HeldVersion::Version(version) = held_version(node, &wanted.model)
+            && version >= wanted.version
+        {
+            return true;
+        }
+        let now = node.clock.now();
+        let is_over = ordered_at.is_some_and(|at| now.since(at) >= ORDER_RETRY_MS);
+        if let Some(state) = state.filter(|state| !state.busy) {
+            if is_over {
+                return false;
+            }
+            if ordered_at.is_none() {
+                let accepted = order(node, wanted, state.accepted_orders).await;
+                log::info!(event = "order", version = wanted.version, taken = accepted; "");
+                ordered_at = Some(now);
+            }
+        }
+        tokio::time::sleep(CHECK_INTERVAL).await;
+    }
+}
+
+async fn order(node: &Node, wanted: &WantedVersion, accepted_orders: u64) -> bool {
+    let Some(engine) = node.settings.engine else {
+        return false;
+    };
+    let model = wanted.model.model.as_str();
+    let order = node.interface.order_start(
+        model,
+        wanted.version,
+        StartMode::AbortRunning,
+        accepted_orders,
+    );
+    let answer = call(node, engine, order, ORDER_TIMEOUT).await;
+    answer.is_some_and(|(status, _)| status.is_success())
+}
+
+/// Returns whether the engine may switch now: its wave has started, or the
+/// switch takes no capacity from callers.
+fn may_switch(node: &Node, wanted: &WantedVersion, staged_at: Millis) -> bool {
+    if !node.settings.experiments.has(Mechanism::Waves) {
+        return true;
+    }
+    let now = node.clock.now();
+    let view = node.view();
+    let own = &view.own;
+    let serves_something = own.report.as_ref().is_some_and(|r| !r.holdings.is_empty());
+    let Some(named_at) = wanted.named_at.filter(|_| serves_something) else {
+        // An engine that serves nothing takes no capacity away.
+        return true;
+    };
+    if is_idle_and_evacuated(&view) {
+        return true;
+    }
+    let live_agents = live_agents(&view, now);
+    let others: Vec<&InstanceId> = live_agents
+        .into_iter()
+        .filter(|other| holds_complete_version(other, wanted) && !view.is_evacuated(&other.hall))
+        .map(|other| &other.instance)
+        .collect();
+    let plan = wave_plan(node, wanted, others.len() + 1);
+    let (elapsed_ms, staged_ms) = (now.since(named_at), staged_at.since(named_at));
+    plan.may_begin(&own.instance, others, elapsed_ms, staged_ms)
+}
+
+/// Returns whether the engine is draining. An order would abort the requests
+/// that still run there, for weights that will not be used.
+fn is_draining(node: &Node) -> bool {
+    let view = node.view();
+    let engine = node.settings.engine;
+    let observed = engine.and_then(|engine| view.directory.target_at(engine));
+    observed.is_some_and(|observed| observed.record.life != TargetLifecycle::Ready)
+}
+
+/// Returns whether the engine's hall is evacuated and the engine is idle. Its
+/// switch takes no capacity from callers, so it need not wait for a wave.
+fn is_idle_and_evacuated(view: &View) -> bool {
+    let report = view.own.report.as_ref();
+    let is_idle = report.is_some_and(|report| report.running + report.queued == 0);
+    is_idle && view.is_evacuated(&view.own.hall)
+}
+
+/// Returns whether the engine of another agent holds a complete version.
+fn holds_complete_version(other: &DaemonRecord, wanted: &WantedVersion) -> bool {
+    let model = &wanted.model;
+    let report = other.report.as_ref();
+    report.is_some_and(|report| {
+        complete_version(&report.holdings, &model.model, model.layers).is_some()
+    })
+}
+
+/// Distributes the switches of all engines evenly over the time until the
+/// version's deadline.
+fn wave_plan(node: &Node, wanted: &WantedVersion, engines: usize) -> WavePlan {
+    let model = &wanted.model;
+    let turn_ms = model.usual_request_ms + LOAD_MS;
+    let bits = model.piece_bytes as f64 * f64::from(model.pieces) * 8.0;
+    let copy_ms = bits / (node.settings.link_mbps.max(0.1) * 1_000.0);
+    let last_ms = node.settings.bounds.version_ms;
+    WavePlan {
+        engines,
+        turn_ms,
+        earliest_start_ms: (copy_ms * COPY_TIME_RATIO) as u64,
+        latest_start_ms: last_ms.saturating_sub(turn_ms + SAFETY_MARGIN_MS),
+    }
+}
--- a/crates/moleroad_gateway/src/agent/transfer.rs
+++ b/crates/moleroad_gateway/src/agent/transfer.rs
@@ -1,8 +1,8 @@
-//! Bringing one piece from a source, checked before it is kept.
+//! Retrieves one piece from a source and verifies it before it is kept.
 
-use crate::agent::bring::Wanted;
 use crate::agent::calls::call_once;
-use crate::agent::fetch::Source;
+use crate::agent::fetch::PieceSource;
+use crate::agent::update_loop::WantedVersion;
 use crate::agent::{pieces, store};
 use crate::node::Node;
 use crate::peers::CallError;
@@ -12,33 +12,35 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time for a piece.
+/// Time limit for the transfer of a piece.
 const PIECE_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// How asking for a piece ended.
+/// Outcome of a transfer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Brought {
-    /// It is here.
-    Yes,
-    /// The source does not have it, is busy, or gave other bytes.
-    NotGiven,
-    /// The source cannot be reached.
+pub enum TransferResult {
+    /// The piece was received.
+    Received,
+    /// The source does not have the piece, is busy, or returned different
+    /// bytes.
+    NotProvided,
+    /// The source is unreachable.
     Unreachable,
 }
 
-/// Brings a piece into memory and, if the engine's store is free, into that.
-pub async fn bring_piece(
+/// Retrieves a piece into memory and, unless the engine's store is reserved for
+/// another version, also into that.
+pub async fn transfer_piece(
     node: Arc<Node>,
-    wanted: Wanted,
+    wanted: WantedVersion,
     piece: u32,
-    source: Source,
+    source: PieceSource,
     digest: [u8; 32],
-) -> (u32, Source, Brought) {
-    let asked = match source {
-        Source::Agent(address) => from_agent(&node, address, &wanted, piece).await,
-        Source::Origin(address) => from_origin(&node, address, &wanted, piece).await,
+) -> (u32, PieceSource, TransferResult) {
+    let received = match source {
+        PieceSource::Agent(address) => from_agent(&node, address, &wanted, piece).await,
+        PieceSource::Origin(address) => from_origin(&node, address, &wanted, piece).await,
     };
-    let bytes = match asked {
+    let bytes = match received {
         Ok(bytes) => bytes,
         Err(reason) => {
             node.metrics.count("piece_not_given");
@@ -48,50 +50,50 @@
     if Sha256::digest(&bytes).as_slice() != digest {
         node.metrics.count("piece_spoilt");
         log::info!(event = "piece_spoilt", piece = piece, source:? = source; "");
-        return (piece, source, Brought::NotGiven);
+        return (piece, source, TransferResult::NotProvided);
     }
     node.metrics.count(match source {
-        Source::Agent(_) => "piece_from_agent",
-        Source::Origin(_) => "piece_from_origin",
+        PieceSource::Agent(_) => "piece_from_agent",
+        PieceSource::Origin(_) => "piece_from_origin",
     });
-    pieces::keep(&node, &wanted.model, wanted.version, piece, bytes.clone());
-    // The engine's store is free unless it is left to an earlier version.
+    pieces::insert_verified(&node, &wanted.model, wanted.version, piece, bytes.clone());
+    // The store is reserved while the engine is about to load another version.
     let has_engine = node.view().own.report.is_some();
-    if has_engine && pieces::taking(&node).is_none() {
+    if has_engine && pieces::loading_version(&node).is_none() {
         pieces::begin_staging(&node, wanted.version);
         store::put(&node, &wanted, piece, &bytes).await;
     }
-    (piece, source, Brought::Yes)
+    (piece, source, TransferResult::Received)
 }
 
 async fn from_agent(
     node: &Node,
     address: SocketAddr,
-    wanted: &Wanted,
+    wanted: &WantedVersion,
     piece: u32,
-) -> Result<Bytes, Brought> {
+) -> Result<Bytes, TransferResult> {
     let (model, version) = (wanted.model.model.clone(), wanted.version);
     let call = |client: crate::peer::PeerClient, context| async move {
         client.piece(context, model, version, piece).await
     };
     match node.peers.call(address, PIECE_TIMEOUT, call).await {
         Ok(Some(bytes)) => Ok(Bytes::from(bytes.into_vec())),
-        Ok(None) | Err(CallError::Busy) => Err(Brought::NotGiven),
-        Err(CallError::Unreachable | CallError::NoAnswer) => Err(Brought::Unreachable),
+        Ok(None) | Err(CallError::Busy) => Err(TransferResult::NotProvided),
+        Err(CallError::Unreachable | CallError::NoAnswer) => Err(TransferResult::Unreachable),
     }
 }
 
 async fn from_origin(
     node: &Node,
     address: SocketAddr,
-    wanted: &Wanted,
+    wanted: &WantedVersion,
     piece: u32,
-) -> Result<Bytes, Brought> {
-    let asked = node
+) -> Result<Bytes, TransferResult> {
+    let request = node
         .interface
         .request_piece(&wanted.model.model, wanted.version, piece);
-    let answer = call_once(node, address, asked, PIECE_TIMEOUT).await;
-    let (status, bytes) = answer.ok_or(Brought::Unreachable)?;
-    let given = status.is_success().then_some(bytes);
-    given.ok_or(Brought::NotGiven)
+    let answer = call_once(node, address, request, PIECE_TIMEOUT).await;
+    let (status, bytes) = answer.ok_or(TransferResult::Unreachable)?;
+    let provided = status.is_success().then_some(bytes);
+    provided.ok_or(TransferResult::NotProvided)
 }
--- a/crates/moleroad_gateway/src/agent/watch.rs
+++ b/crates/moleroad_gateway/src/agent/watch.rs
@@ -1,4 +1,4 @@
-//! Reading the engine and telling entries of it.
+//! Polls the engine and publishes its state to entries.
 
 use crate::agent::calls::call;
 use crate::experiments::Mechanism;
@@ -9,46 +9,47 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time between reads of the engine.
-const READ_EVERY: Duration = Duration::from_millis(120);
-/// Time for the engine to answer.
-const READ_TIMEOUT: Duration = Duration::from_millis(800);
-/// Time for an engine that was not read yet to answer: it begins at about the
-/// same time as its agent, and an attempt to connect that comes too early may
-/// hang.
-const FIRST_READ_TIMEOUT: Duration = Duration::from_millis(100);
-/// Time between reads of an engine that was not read yet.
-const FIRST_READ_EVERY: Duration = Duration::from_millis(40);
-/// Reads without answer after which the engine counts as away.
-const AWAY_AFTER: u32 = 3;
+/// Time between polls of the engine.
+const POLL_INTERVAL: Duration = Duration::from_millis(120);
+/// Time limit for a poll.
+const POLL_TIMEOUT: Duration = Duration::from_millis(800);
+/// Time limit for a poll of an engine that has not answered yet. It starts at
+/// about the same time as its agent, and a connection attempt that comes too
+/// early may hang.
+const FIRST_POLL_TIMEOUT: Duration = Duration::from_millis(100);
+/// Time between polls of an engine that has not answered yet.
+const FIRST_POLL_INTERVAL: Duration = Duration::from_millis(40);
+/// Number of consecutive failed polls after which the engine counts as lost.
+const LOST_AFTER_FAILURES: u32 = 3;
 
-/// Reads the engine until the process ends.
+/// Polls the engine until the process ends.
 pub async fn watch(node: Arc<Node>) {
     let mut unanswered = 0;
     loop {
         let is_known = node.view().own.report.is_some();
         let (timeout, pause) = if is_known {
-            (READ_TIMEOUT, READ_EVERY)
+            (POLL_TIMEOUT, POLL_INTERVAL)
         } else {
-            (FIRST_READ_TIMEOUT, FIRST_READ_EVERY)
+            (FIRST_POLL_TIMEOUT, FIRST_POLL_INTERVAL)
         };
-        let rests = node
+        let is_backing_off = node
             .settings
             .engine
             .is_some_and(|engine| node.backoff_left_ms(engine) > 0);
-        let read = read_within(&node, timeout).await;
+        let read = read_with_timeout(&node, timeout).await;
         node.cold_engine.note_alive(node.clock.now());
         match read {
-            // It is not asked; what it said last holds.
-            None if rests => {}
+            // The engine requested a backoff and is not polled; its last report
+            // remains valid.
+            None if is_backing_off => {}
             Some(state) => {
                 unanswered = 0;
-                tell(&node, Some(state.report));
+                publish_report(&node, Some(state.report));
             }
             None => {
                 unanswered += 1;
-                if unanswered >= AWAY_AFTER {
-                    tell(&node, None);
+                if unanswered >= LOST_AFTER_FAILURES {
+                    publish_report(&node, None);
                 }
             }
         }
@@ -56,11 +57,11 @@
     }
 }
 
-/// What the engine has in hand at this moment.
+/// Polls the engine and returns its current load.
 pub async fn load(node: &Node) -> Option<EngineLoad> {
     let report = read(node).await?.report;
     let (running, queued) = (report.running, report.queued);
-    tell(node, Some(report));
+    publish_report(node, Some(report));
     let cold = node.cold_engine.state(node.clock.now());
     Some(EngineLoad {
         running,
@@ -73,7 +74,9 @@
     })
 }
 
-/// Whether the engine holds some version whole, as far as its layers tell.
+/// Returns whether the engine holds weights, as far as its report tells, and is
+/// not switching versions. Always false if [`Mechanism::YieldingPieces`] is
+/// disabled.
 pub fn serves(node: &Node) -> bool {
     if !node.settings.experiments.has(Mechanism::YieldingPieces) {
         return false;
@@ -91,12 +94,13 @@
         .is_some_and(|report| report.switching)
 }
 
-/// Reads the state of the engine of this instance.
+/// Polls the state of this instance's engine. Returns `None` if it did not
+/// answer or is in a requested backoff.
 pub async fn read(node: &Node) -> Option<EngineState> {
-    read_within(node, READ_TIMEOUT).await
+    read_with_timeout(node, POLL_TIMEOUT).await
 }
 
-async fn read_within(node: &Node, timeout: Duration) -> Option<EngineState> {
+async fn read_with_timeout(node: &Node, timeout: Duration) -> Option<EngineState> {
     let engine = node.settings.engine?;
     if node.backoff_left_ms(engine) > 0 {
         return None;
@@ -108,8 +112,9 @@
     node.interface.read_state(&body)
 }
 
-/// Tells entries what was read, if it is news.
-pub fn tell(node: &Node, report: Option<EngineReport>) {
+/// Publishes the engine's report to entries if it changed. `None` means that
+/// the engine is lost.
+pub fn publish_report(node: &Node, report: Option<EngineReport>) {
     let mut view = node.view();
     let switching = view
         .own
@@ -120,21 +125,21 @@
         switching,
         ..report
     });
-    // Engines that found the system with their agents are not cold.
+    // Engines that start together with a new system are not cold.
     let is_founding = node.settings.found_group && !view.engine_was_polled;
     if view.own.report.is_none() && report.is_some() && !is_founding {
         node.cold_engine.engine_started(node.clock.now());
     }
     view.engine_was_polled |= report.is_some();
     if view.own.report != report {
-        note_engine(view.own.report.as_ref(), report.as_ref());
+        log_engine_change(view.own.report.as_ref(), report.as_ref());
         view.own.report = report;
         view.own.sequence += 1;
     }
 }
 
-/// Logs that the engine was lost or is there again.
-fn note_engine(before: Option<&EngineReport>, now: Option<&EngineReport>) {
+/// Logs when the engine is lost or becomes reachable.
+fn log_engine_change(before: Option<&EngineReport>, now: Option<&EngineReport>) {
     match (before, now) {
         (None, Some(report)) => {
             let layers: u32 = report.holdings.iter().map(|held| held.to - held.from).sum();
@@ -145,7 +150,8 @@
     }
 }
 
-/// Asks entries to send nothing new to the engine, or to send again.
+/// Publishes whether the engine is switching versions, during which entries
+/// send it no new requests.
 pub fn set_switching(node: &Node, switching: bool) {
     let mut view = node.view();
     let changed = match &mut view.own.report {
--- a/crates/moleroad_gateway/src/clock.rs
+++ b/crates/moleroad_gateway/src/clock.rs
@@ -1,5 +1,5 @@
-//! The clocks of one process: what says how old something is, and until when it
-//! holds, reads them here. Timers and limits of a single call use tokio's.
+//! The clocks of a process. All ages and expiry times use this clock; timers
+//! and timeouts of a single call use tokio's.
 
 use moleroad_quarantine::prelude::UnixMillis;
 use moleroad_types::prelude::Millis;
@@ -7,17 +7,18 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// Milliseconds since shortly before the process began, never going back. The
-/// time for which the machine is suspended counts, which it does not by
-/// `CLOCK_MONOTONIC`: leases, deadlines and ages would otherwise be too young by
-/// that, and the process would not notice that it stood still.
+/// A monotonic clock in milliseconds. Unlike `CLOCK_MONOTONIC` it includes the
+/// time during which the machine is suspended: otherwise leases, deadlines and
+/// ages would be too young by that time, and a suspension of the process could
+/// not be detected.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started: Duration,
 }
 
-/// What the clock shows when it starts, so that ages can be subtracted.
-const FIRST_READING_MS: u64 = 1_000_000;
+/// Reading of the clock at its start, large enough that ages can be subtracted
+/// from it.
+const START_OFFSET_MS: u64 = 1_000_000;
 
 impl Default for Clock {
     fn default() -> Self {
@@ -28,32 +29,33 @@
 }
 
 impl Clock {
-    /// The time now.
+    /// Returns the current time.
     pub fn now(&self) -> Millis {
         let elapsed = since_boot().saturating_sub(self.started);
-        Millis(FIRST_READING_MS + elapsed.as_millis() as u64)
+        Millis(START_OFFSET_MS + elapsed.as_millis() as u64)
     }
 
-    /// Milliseconds since the clock was started.
+    /// Returns the time since the clock was started, in milliseconds.
     pub fn up_ms(&self) -> u64 {
-        self.now().0 - FIRST_READING_MS
+        self.now().0 - START_OFFSET_MS
     }
 
-    /// The time of day, which may be wrong by seconds and step either way.
+    /// Returns the Unix time in milliseconds. It may be wrong by seconds and
+    /// may jump in either direction.
     pub fn unix_time(&self) -> UnixMillis {
         let since_1970 = SystemTime::now().duration_since(UNIX_EPOCH);
         UnixMillis(since_1970.map_or(0, |time| time.as_millis() as u64))
     }
 
-    /// The moment at which the clock shows `at`, for timers; now if that is over.
-    /// Timers stand still while the machine is suspended: what waits by one looks
-    /// at the clock again when it wakes.
+    /// Returns the tokio instant at which this clock reads `at`, or now if that
+    /// has passed. Timers do not advance while the machine is suspended, so a
+    /// task that waits on one must check this clock again when it wakes.
     pub fn instant(&self, at: Millis) -> Instant {
         Instant::now() + Duration::from_millis(at.since(self.now()))
     }
 }
 
-/// Time since the machine started, suspended or not.
+/// Returns the time since the machine booted, including suspensions.
 fn since_boot() -> Duration {
     let time = clock_gettime(ClockId::Boottime);
     Duration::new(
--- a/crates/moleroad_gateway/src/control_member/member.rs
+++ b/crates/moleroad_gateway/src/control_member/member.rs
@@ -1,4 +1,5 @@
-//! The thread of the member: feeds the replica, carries out its actions.
+//! The member's thread: passes events to the consensus replica and executes its
+//! actions.
 
 use super::{Committed, MemberInput, MemberOutput, MemberSettings, TIMING};
 use crate::clock::Clock;
@@ -12,21 +13,21 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-/// Time between looks at the clock, in milliseconds.
-const TICK_MS: u64 = 25;
-/// Entries after which the log is replaced by a snapshot.
-const COMPACT_AFTER: usize = 48;
-/// Time between tries to use a disk that failed, in milliseconds.
-const REOPEN_MS: u64 = 300;
+/// Longest time between two ticks of the replica, in milliseconds.
+const TICK_INTERVAL_MS: u64 = 25;
+/// Number of log entries after which they are compacted into a snapshot.
+const COMPACT_AFTER_ENTRIES: usize = 48;
+/// Time between attempts to reopen a failed disk, in milliseconds.
+const DISK_RETRY_INTERVAL_MS: u64 = 300;
 
-/// Opens the log and what was kept of it.
+/// Opens the storage and reads the state that it holds.
 pub fn open(settings: &MemberSettings) -> Result<(Storage<FolderDisk>, Restored), StorageError> {
     let disk = FolderDisk::open(&settings.folder)?;
     Storage::open(disk, settings.fresh, &settings.instance)
 }
 
-/// What the thread works on.
-pub struct Member {
+/// State of the member's thread.
+pub struct MemberThread {
     settings: MemberSettings,
     own: MemberInfo,
     clock: Clock,
@@ -36,17 +37,17 @@
     state: Arc<ControlState>,
     next_ticket: u64,
     replies: BTreeMap<ProposalTicket, oneshot::Sender<Committed>>,
-    placed: BTreeMap<LogIndex, (Term, ProposalTicket)>,
-    told_leader: Option<(Term, Option<MemberId>)>,
-    told_members: Option<Configuration>,
-    /// Whether the members changed since this process began.
+    proposals_by_index: BTreeMap<LogIndex, (Term, ProposalTicket)>,
+    published_leader: Option<(Term, Option<MemberId>)>,
+    logged_members: Option<Configuration>,
+    /// Whether a new voter has joined the group since this process started.
     replaced: bool,
     reopen_at: Millis,
     retired: bool,
 }
 
-impl Member {
-    /// A member that stands where its disk left it.
+impl MemberThread {
+    /// Creates a member that continues from the state on its disk.
     pub fn new(
         settings: MemberSettings,
         own: MemberInfo,
@@ -55,7 +56,7 @@
         storage: Storage<FolderDisk>,
         restored: Restored,
     ) -> Self {
-        let state = state_of(&restored);
+        let state = snapshot_state(&restored);
         let tentative = tentative_state(&state, &restored);
         let _ = output.send(MemberOutput::Tentative(Arc::new(tentative)));
         let replica = Replica::new(own.id, TIMING, rand::random(), restored, clock.now());
@@ -70,55 +71,58 @@
             state: Arc::new(state),
             next_ticket: 1,
             replies: BTreeMap::new(),
-            placed: BTreeMap::new(),
-            told_leader: None,
-            told_members: None,
+            proposals_by_index: BTreeMap::new(),
+            published_leader: None,
+            logged_members: None,
             replaced: false,
             reopen_at: Millis(0),
             retired: false,
         }
     }
 
-    /// Tells what the disk held, and founds the group if this is a first start.
+    /// Publishes the state from the disk, and founds the group if `founding` is
+    /// set.
     pub fn begin(&mut self, founding: Option<Configuration>) {
-        self.tell_state();
+        self.publish_state();
         if let Some(configuration) = founding {
-            self.feed(Event::Found(configuration));
+            self.handle_event(Event::Found(configuration));
         }
     }
 
-    /// Works until the process stops.
+    /// Processes inputs until the sending side is dropped.
     pub fn run(&mut self, inputs: &Receiver<MemberInput>) {
         loop {
-            let first = match inputs.recv_timeout(Duration::from_millis(TICK_MS)) {
+            let first = match inputs.recv_timeout(Duration::from_millis(TICK_INTERVAL_MS)) {
                 Ok(input) => Some(input),
                 Err(RecvTimeoutError::Timeout) => None,
                 Err(RecvTimeoutError::Disconnected) => return,
             };
             let mut proposals = Vec::new();
             for input in first.into_iter().chain(inputs.try_iter()) {
-                self.take(input, &mut proposals);
+                self.handle_input(input, &mut proposals);
             }
             if !proposals.is_empty() {
-                self.feed(Event::Propose(proposals));
+                self.handle_event(Event::Propose(proposals));
             }
             if self.storage.is_none() {
-                self.try_reopen();
+                self.try_reopen_disk();
             } else if !self.retired {
-                self.feed(Event::Tick);
+                self.handle_event(Event::Tick);
             }
-            self.tell_leader();
-            self.note_members();
+            self.publish_leader();
+            self.log_members();
             self.compact();
         }
     }
 
-    fn take(&mut self, input: MemberInput, proposals: &mut Vec<Proposal>) {
+    fn handle_input(&mut self, input: MemberInput, proposals: &mut Vec<Proposal>) {
         match input {
-            MemberInput::Receive(from, message) => self.feed(Event::Receive { from, message }),
-            MemberInput::Spare(info) => self.feed(Event::SpareSeen(info)),
+            MemberInput::Receive(from, message) => {
+                self.handle_event(Event::Receive { from, message })
+            }
+            MemberInput::Spare(info) => self.handle_event(Event::SpareSeen(info)),
             MemberInput::Propose(command, reply) => {
-                if let Some(proposal) = self.proposal(&command, reply) {
+                if let Some(proposal) = self.prepare_proposal(&command, reply) {
                     proposals.push(proposal);
                 }
             }
@@ -130,7 +134,9 @@
         }
     }
 
-    fn proposal(
+    /// Serializes a command for the log. Replies immediately and returns `None`
+    /// if the command cannot be proposed or is already applied.
+    fn prepare_proposal(
         &mut self,
         command: &ControlCommand,
         reply: oneshot::Sender<Committed>,
@@ -153,7 +159,9 @@
         Some(Proposal { ticket, data })
     }
 
-    /// What is in force, if no other member can have changed it.
+    /// Returns the committed state if this member holds the leader's lease, so
+    /// that no other member can have changed it. Otherwise returns the leader,
+    /// if it is another member and known.
     fn read(&self) -> Result<Arc<ControlState>, Option<MemberInfo>> {
         let leads = self.storage.is_some() && self.replica.holds_lease(self.clock.now());
         if leads && !self.retired {
@@ -164,19 +172,19 @@
         }
     }
 
-    fn feed(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         if self.storage.is_none() {
             return;
         }
         let actions = self.replica.on_event(self.clock.now(), event);
         for action in actions {
-            if let Err(error) = self.carry_out(action) {
+            if let Err(error) = self.execute(action) {
                 return self.disk_failed(&error);
             }
         }
     }
 
-    fn carry_out(&mut self, action: Action) -> Result<(), StorageError> {
+    fn execute(&mut self, action: Action) -> Result<(), StorageError> {
         let Some(storage) = self.storage.as_mut() else {
             return Ok(());
         };
@@ -190,7 +198,7 @@
             }
             Action::Restore(snapshot) => {
                 self.state = Arc::new(decode_state(&snapshot));
-                self.tell_state();
+                self.publish_state();
             }
             Action::Apply(entries) => self.apply(entries),
             Action::Proposed {
@@ -198,7 +206,7 @@
                 index,
                 term,
             } => {
-                self.placed.insert(index, (term, ticket));
+                self.proposals_by_index.insert(index, (term, ticket));
             }
             Action::Refused { ticket, leader } => {
                 self.reply(ticket, Committed::NotLeader(leader));
@@ -216,86 +224,89 @@
         let mut changed = false;
         let mut done = Vec::new();
         for entry in entries {
-            let mut committed = Committed::Unknown;
+            let mut outcome = Committed::Unknown;
             if let Payload::Command(data) = &entry.payload {
                 match rmp_serde::from_slice::<ControlCommand>(data) {
                     Ok(command) => {
                         let (is_change, applied) = self.apply_command(&command);
                         changed |= is_change;
-                        committed = applied;
+                        outcome = applied;
                     }
                     Err(error) => log::error!(event = "command_unreadable"; "{error}"),
                 }
             }
-            if let Some((term, ticket)) = self.placed.remove(&entry.index) {
+            if let Some((term, ticket)) = self.proposals_by_index.remove(&entry.index) {
                 if term != entry.term {
-                    committed = Committed::Unknown;
+                    outcome = Committed::Unknown;
                 }
-                done.push((ticket, committed));
+                done.push((ticket, outcome));
             }
         }
         if changed {
-            self.tell_state();
+            self.publish_state();
         }
-        for (ticket, committed) in done {
-            self.reply(ticket, committed);
+        for (ticket, outcome) in done {
+            self.reply(ticket, outcome);
         }
     }
 
-    /// Applies a change; whether it changed anything, and what its proposer is
-    /// told.
+    /// Applies a committed command. Returns whether the state changed, and the
+    /// outcome for the proposer.
     fn apply_command(&mut self, command: &ControlCommand) -> (bool, Committed) {
         let state = Arc::make_mut(&mut self.state);
         let ControlCommand::OrderHall(order) = command else {
             let is_change = state.apply(command);
             return (is_change, Committed::Yes(state.document_id()));
         };
-        let verdict = state.evacuations.carry_out(order);
-        let is_change = verdict.outcome == HallOrderOutcome::Changed;
-        (is_change, Committed::Hall(verdict))
+        let result = state.evacuations.carry_out(order);
+        let is_change = result.outcome == HallOrderOutcome::Changed;
+        (is_change, Committed::Hall(result))
     }
 
-    fn reply(&mut self, ticket: ProposalTicket, committed: Committed) {
+    fn reply(&mut self, ticket: ProposalTicket, outcome: Committed) {
         if let Some(reply) = self.replies.remove(&ticket) {
-            let _ = reply.send(committed);
+            let _ = reply.send(outcome);
         }
     }
 
+    /// Reports the outcome of all pending proposals as unknown.
     fn abandon_proposals(&mut self) {
-        self.placed.clear();
+        self.proposals_by_index.clear();
         for (_, reply) in std::mem::take(&mut self.replies) {
             let _ = reply.send(Committed::Unknown);
         }
     }
 
+    /// Replaces the log by a snapshot once it has grown enough.
     fn compact(&mut self) {
-        if self.storage.is_none() || self.replica.entries_since_snapshot() < COMPACT_AFTER {
+        if self.storage.is_none() || self.replica.entries_since_snapshot() < COMPACT_AFTER_ENTRIES {
             return;
         }
         let index = self.replica.applied_index();
         if let Ok(state) = rmp_serde::to_vec(&*self.state) {
-            self.feed(Event::Compact { index, state });
+            self.handle_event(Event::Compact { index, state });
         }
     }
 
-    /// After a failed write nothing is certain of the disk: the member goes
-    /// silent and begins anew from what the disk then holds.
+    /// Stops using the disk. After a failed write the content of the disk is
+    /// unknown, so the member stays silent until the disk can be reopened and
+    /// then restarts from the state found there.
     fn disk_failed(&mut self, error: &StorageError) {
         log::warn!(event = "disk_failed"; "{error}");
         self.storage = None;
-        self.reopen_at = self.clock.now() + REOPEN_MS;
+        self.reopen_at = self.clock.now() + DISK_RETRY_INTERVAL_MS;
         self.abandon_proposals();
         let _ = self.output.send(MemberOutput::Disk(Err(error.to_string())));
     }
 
-    fn try_reopen(&mut self) {
+    fn try_reopen_disk(&mut self) {
         if self.clock.now() < self.reopen_at {
             return;
         }
-        self.reopen_at = self.clock.now() + REOPEN_MS;
+        self.reopen_at = self.clock.now() + DISK_RETRY_INTERVAL_MS;
         match open(&self.settings) {
             Ok((storage, restored)) if storage.identity().member == self.own.id => {
-                let restored_state = state_of(&restored);
+                let restored_state = snapshot_state(&restored);
                 let now = self.clock.now();
                 let replica = Replica::new(self.own.id, TIMING, rand::random(), restored, now);
                 let wanted = self.settings.tolerated_losses * 2 + 1;
@@ -310,18 +321,18 @@
         }
     }
 
-    fn tell_state(&self) {
+    fn publish_state(&self) {
         let _ = self.output.send(MemberOutput::State(self.state.clone()));
     }
 
-    /// Logs a change of the members, and whether it brought a member that was
-    /// not there before.
-    fn note_members(&mut self) {
+    /// Logs a change of the group's members, and whether a new voter has joined
+    /// since this process started.
+    fn log_members(&mut self) {
         let members = self.replica.configuration();
-        if self.told_members.as_ref() == Some(members) {
+        if self.logged_members.as_ref() == Some(members) {
             return;
         }
-        let earlier = self.told_members.as_ref();
+        let earlier = self.logged_members.as_ref();
         let is_new = |id: &MemberId| earlier.is_some_and(|e| !e.voters.contains(id));
         log::info!(
             event = "control_members",
@@ -332,20 +343,20 @@
             ""
         );
         self.replaced |= members.voters.iter().any(is_new);
-        self.told_members = Some(members.clone());
+        self.logged_members = Some(members.clone());
     }
 
-    fn tell_leader(&mut self) {
+    fn publish_leader(&mut self) {
         let leader = self.replica.leader_info().cloned();
         let now = (self.replica.term(), leader.as_ref().map(|info| info.id));
-        if self.told_leader.as_ref() != Some(&now) {
-            self.told_leader = Some(now);
+        if self.published_leader.as_ref() != Some(&now) {
+            self.published_leader = Some(now);
             let _ = self.output.send(MemberOutput::Leader(now.0, leader));
         }
     }
 }
 
-fn state_of(restored: &Restored) -> ControlState {
+fn snapshot_state(restored: &Restored) -> ControlState {
     restored
         .snapshot
         .as_ref()
@@ -353,7 +364,7 @@
         .unwrap_or_default()
 }
 
-/// The state with all entries of the log applied, committed or not.
+/// Returns the state with all log entries applied, whether committed or not.
 fn tentative_state(state: &ControlState, restored: &Restored) -> ControlState {
     let mut tentative = state.clone();
     for entry in &restored.entries {
--- a/crates/moleroad_gateway/src/control_member/mod.rs
+++ b/crates/moleroad_gateway/src/control_member/mod.rs
@@ -1,12 +1,13 @@
-//! The member of the control group: a thread that owns the replica and its
-//! disk, so that a slow disk holds up nothing else.
+//! The local member of the control group. A dedicated thread owns the consensus
+//! replica and its disk, so that a slow disk blocks nothing else in the
+//! process.
 
 mod member;
 
 use crate::clock::Clock;
 use crate::control_state::{ControlCommand, ControlState, DocumentId};
 use crate::evacuations::HallOrderResult;
-use member::{Member, open};
+use member::{MemberThread, open};
 use moleroad_consensus::prelude::*;
 use moleroad_types::prelude::Term;
 use std::path::PathBuf;
@@ -14,8 +15,8 @@
 use std::sync::mpsc::{Sender, channel};
 use tokio::sync::{mpsc, oneshot};
 
-/// Periods of the control group. The lease ends before another member can be
-/// elected even if clocks drift by a tenth.
+/// Timing of the control group. The lease expires before another member can be
+/// elected, even if clocks drift by 10%.
 pub const TIMING: Timing = Timing {
     heartbeat_ms: 100,
     election_min_ms: 600,
@@ -24,72 +25,76 @@
     repair_after_ms: 1_600,
 };
 
-/// What became of a change.
+/// Outcome of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Committed {
-    /// It, or a later one of its kind, is durable on a majority and applied; says
-    /// which configuration is in force with it.
+    /// The change, or a later one that supersedes it, is durable on a majority
+    /// and applied. Carries the ID of the configuration in force afterwards.
     Yes(Option<DocumentId>),
-    /// An order for a hall is; this is what it came to.
+    /// An order for a data hall is durable on a majority and applied, with this
+    /// result.
     Hall(HallOrderResult),
-    /// This member does not lead; the leader, if it is known.
+    /// This member is not the leader. Carries the leader if it is known.
     NotLeader(Option<MemberInfo>),
-    /// It may or may not come to be.
+    /// The change may or may not be committed.
     Unknown,
 }
 
-/// What the thread is told.
+/// Messages to the member's thread.
 pub enum MemberInput {
-    /// A message of another member.
+    /// A consensus message from another member.
     Receive(MemberInfo, Message),
-    /// A change that an operator wants.
+    /// Proposes a change and reports its outcome.
     Propose(ControlCommand, oneshot::Sender<Committed>),
-    /// What is in force now, if this member leads under a lease.
+    /// Reads the current state, if this member is the leader and holds its
+    /// lease. Otherwise replies with the leader, if known.
     Read(oneshot::Sender<Result<Arc<ControlState>, Option<MemberInfo>>>),
-    /// A member with a disk that may be in no configuration.
+    /// A daemon with a disk that may not belong to the group yet and could
+    /// replace a lost member.
     Spare(MemberInfo),
-    /// Gives up leadership and stands no more: the process stops.
+    /// Gives up leadership and takes no further part in elections: the process
+    /// is stopping.
     Retire,
 }
 
-/// What the thread tells.
+/// Messages from the member's thread.
 pub enum MemberOutput {
-    /// Send a message to a member.
+    /// Send this message to a member.
     Send(MemberInfo, Message),
-    /// This is in force.
+    /// The committed state.
     State(Arc<ControlState>),
-    /// This was in the log at the start and is not known to be committed:
-    /// good enough to prepare for, not to act on.
+    /// The state including log entries found at startup that may not be
+    /// committed. Usable for preparation only; requests must not depend on it.
     Tentative(Arc<ControlState>),
-    /// The leader of a term, as far as known.
+    /// The current term and its leader, if known.
     Leader(Term, Option<MemberInfo>),
-    /// The disk failed or works again.
+    /// The disk failed, or works again after a failure.
     Disk(Result<(), String>),
 }
 
-/// How the thread begins.
+/// Settings of the member's thread.
 pub struct MemberSettings {
-    /// Folder that the member keeps its state in.
+    /// Folder that holds the member's durable state.
     pub folder: PathBuf,
-    /// Identity if the folder is empty.
+    /// Member ID to use if the folder is empty.
     pub fresh: MemberId,
     /// Name of the instance.
     pub instance: String,
-    /// Address that takes messages.
+    /// Address that receives consensus messages.
     pub address: std::net::SocketAddr,
-    /// The founding members, when this is the first start of all.
+    /// Initial members, set only when the group starts for the first time.
     pub founding: Option<Configuration>,
-    /// Members that may be lost at once.
+    /// Number of simultaneous member failures that the group tolerates.
     pub tolerated_losses: usize,
 }
 
-/// The way to the thread.
+/// Handle to the member's thread.
 #[derive(Clone)]
 pub struct ControlMember {
     input: Sender<MemberInput>,
-    /// This member; the identity is the one of the disk.
+    /// This member, with the ID stored on its disk.
     pub own: MemberInfo,
-    /// Whether the disk held anything of an earlier life.
+    /// Whether the disk held state from an earlier run.
     pub has_old_state: bool,
 }
 
@@ -97,7 +102,8 @@
     /// Starts the thread.
     ///
     /// # Errors
-    /// When the folder cannot be used at all.
+    /// Returns an error if the folder cannot be opened or read, or the thread
+    /// cannot be spawned.
     pub fn start(
         settings: MemberSettings,
         clock: Clock,
@@ -112,7 +118,7 @@
         let has_old_state = restored.snapshot.is_some() || !restored.entries.is_empty();
         let (input, inputs) = channel();
         let founding = settings.founding.clone();
-        let mut member = Member::new(settings, own.clone(), clock, output, storage, restored);
+        let mut member = MemberThread::new(settings, own.clone(), clock, output, storage, restored);
         std::thread::Builder::new()
             .name("control".into())
             .stack_size(512 << 10)
@@ -127,22 +133,23 @@
         })
     }
 
-    /// Tells the thread something; it may have ended.
+    /// Sends a message to the thread. Has no effect if the thread has ended.
     pub fn tell(&self, input: MemberInput) {
         let _ = self.input.send(input);
     }
 
-    /// Asks for a change.
+    /// Proposes a change and waits for its outcome.
     pub async fn propose(&self, command: ControlCommand) -> Committed {
         let (reply, answer) = oneshot::channel();
         self.tell(MemberInput::Propose(command, reply));
         answer.await.unwrap_or(Committed::Unknown)
     }
 
-    /// What is in force now, or else the leader as far as it is known.
+    /// Returns the current committed state.
     ///
     /// # Errors
-    /// When this member cannot be certain.
+    /// If this member is not the leader with a valid lease, returns the leader
+    /// as far as it is known.
     pub async fn read(&self) -> Result<Arc<ControlState>, Option<MemberInfo>> {
         let (reply, answer) = oneshot::channel();
         self.tell(MemberInput::Read(reply));
--- a/crates/moleroad_gateway/src/control_state.rs
+++ b/crates/moleroad_gateway/src/control_state.rs
@@ -1,4 +1,4 @@
-//! The state that the control group agrees on.
+//! State that is replicated by the control group.
 
 use crate::evacuations::{Evacuations, HallOrder};
 use flate2::Compression;
@@ -12,54 +12,58 @@
 use std::io::Read;
 use std::sync::Arc;
 
-/// A configuration as the operator sent it, kept and passed on compressed: it
-/// is text that repeats itself and crosses regions to every member and relay.
+/// A configuration as sent by the operator. It is stored and transmitted
+/// compressed, since it is repetitive text and is sent across regions to every
+/// member and relay.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigDocument {
-    /// Its version.
+    /// Version of the configuration.
     pub version: ConfigVersion,
-    /// Its bytes, in the zlib format.
+    /// Content, in zlib format.
     compressed: Arc<ByteBuf>,
 }
 
-/// Which document it is, without its bytes.
+/// Identifies a configuration document by version and content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DocumentId {
-    /// Its version.
+    /// Version of the configuration.
     pub version: ConfigVersion,
-    /// SHA-256 of its bytes as they are passed on.
+    /// SHA-256 of the compressed bytes.
     pub digest: [u8; 32],
 }
 
 impl DocumentId {
-    /// The begin of its digest: enough to notice that two documents differ.
+    /// Returns the first eight bytes of the digest, enough to detect that two
+    /// documents differ.
     pub fn short_digest(&self) -> u64 {
         let [a, b, c, d, e, f, g, h, ..] = self.digest;
         u64::from_le_bytes([a, b, c, d, e, f, g, h])
     }
 }
 
-/// Largest configuration, in bytes: as much as a call may bring.
+/// Largest configuration in bytes, uncompressed: the most that one management
+/// call may carry.
 pub const MAX_DOCUMENT_BYTES: usize = 8 << 20;
 
 impl ConfigDocument {
-    /// The document `version` with these bytes.
+    /// Creates a document from the uncompressed content.
     pub fn new(version: ConfigVersion, bytes: &[u8]) -> Self {
         let mut reader = ZlibEncoder::new(bytes, Compression::fast());
         let mut compressed = Vec::new();
         reader
             .read_to_end(&mut compressed)
-            .expect("a slice can be read and a vector grows");
+            .expect("reading from a slice into a vector cannot fail");
         Self {
             version,
             compressed: Arc::new(ByteBuf::from(compressed)),
         }
     }
 
-    /// The bytes as the operator sent them.
+    /// Returns the uncompressed content, as sent by the operator.
     ///
     /// # Errors
-    /// [`ConfigurationError::Unreadable`] when they are spoilt or too many.
+    /// [`ConfigurationError::Unreadable`] if the content is corrupt or larger
+    /// than [`MAX_DOCUMENT_BYTES`].
     pub fn bytes(&self) -> Result<Vec<u8>, ConfigurationError> {
         let decoder = ZlibDecoder::new(&self.compressed[..]);
         let mut bytes = Vec::new();
@@ -68,13 +72,14 @@
             .read_to_end(&mut bytes)
             .map_err(|error| ConfigurationError::Unreadable(error.to_string()))?;
         if bytes.len() > MAX_DOCUMENT_BYTES {
-            let reason = "it is larger than a call may bring";
+            let reason = "it exceeds the largest size that a call may carry";
             return Err(ConfigurationError::Unreadable(reason.into()));
         }
         Ok(bytes)
     }
 
-    /// Which document it is: another one may have the same version.
+    /// Returns the document's ID. The digest is part of it because another
+    /// document may have the same version.
     pub fn id(&self) -> DocumentId {
         DocumentId {
             version: self.version,
@@ -82,54 +87,55 @@
         }
     }
 
-    /// Bytes that it takes on the way and on disk.
+    /// Returns the compressed size in bytes.
     pub fn compressed_len(&self) -> usize {
         self.compressed.len()
     }
 }
 
-/// A change that an operator or an entry wants.
+/// A change proposed by an operator or an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ControlCommand {
-    /// Put a configuration in force if its version is higher than the one held.
+    /// Replaces the configuration if this version is higher than the current
+    /// one.
     Replace(ConfigDocument),
-    /// Name a version of a model if it is higher than the one named before.
+    /// Names a version of a model if it is higher than the last one named.
     NameVersion {
         /// Name of the model.
         model: String,
         /// Version of its weights.
         version: u64,
     },
-    /// Evacuate a data hall or take it back.
+    /// Evacuates a data hall or reverses its evacuation.
     OrderHall(HallOrder),
-    /// Send a request no more that ends targets.
+    /// Holds a request that terminates targets: it is no longer sent.
     HoldRequest(HoldOrder),
-    /// Send one copy of a request that is held.
+    /// Allows a single trial of a held request.
     TryRequest(TrialOrder),
-    /// Send a request again that ran to a good end.
+    /// Releases a held request after its trial ended well.
     ReleaseRequest(ReleaseOrder),
 }
 
-/// What is in force.
+/// The state in force.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlState {
-    /// The configuration with the highest version.
+    /// Configuration with the highest version.
     pub configuration: Option<ConfigDocument>,
-    /// The highest version named of each model.
+    /// Highest version named for each model.
     pub versions: BTreeMap<String, u64>,
-    /// Which data halls are evacuated.
+    /// Evacuation state of data halls.
     #[serde(default)]
     pub evacuations: Evacuations,
-    /// Requests that are not sent, since they end targets.
+    /// Requests that are held because they terminate targets.
     #[serde(default)]
     pub holds: Holds,
-    /// How such requests come to be sent again.
+    /// Trials and releases of held requests.
     #[serde(default)]
     pub reviews: Reviews,
 }
 
 impl ControlState {
-    /// Applies a change; true if it changed anything.
+    /// Applies a change. Returns whether the state changed.
     pub fn apply(&mut self, command: &ControlCommand) -> bool {
         if self.includes(command) {
             return false;
@@ -150,9 +156,12 @@
         true
     }
 
-    /// Whether the change, or a later one of its kind, was applied. What an
-    /// order for a hall comes to, the log alone can tell; and that a document with
-    /// this version was applied does not say that it has the same bytes.
+    /// Returns whether the change, or a later one that supersedes it, was
+    /// applied.
+    ///
+    /// The result of an order for a data hall depends on its position in the
+    /// log, so orders are never reported as included. For a configuration, only
+    /// the version is compared: the content applied under it may differ.
     pub fn includes(&self, command: &ControlCommand) -> bool {
         match command {
             ControlCommand::Replace(document) => self
@@ -169,7 +178,7 @@
         }
     }
 
-    /// Takes what is newer in `other`; true if anything was.
+    /// Merges the newer parts of `other`. Returns whether the state changed.
     pub fn merge(&mut self, other: &ControlState) -> bool {
         let mut changed = false;
         if let Some(document) = &other.configuration {
@@ -186,15 +195,16 @@
         changed | self.reviews.merge(&other.reviews)
     }
 
-    /// How much longer a request is held, in milliseconds; `None` when it may be
-    /// sent.
+    /// Returns how much longer a request is held, in milliseconds, or `None` if
+    /// it may be sent.
     pub fn hold_left_ms(&self, now: UnixMillis, request: &RequestFingerprint) -> Option<u64> {
         let until = self.holds.until(request)?;
         let left_ms = self.holds.left_ms(now, request)?;
         (!self.reviews.ends_hold(request, until)).then_some(left_ms)
     }
 
-    /// Whether another document is held here under the version that `decided` holds.
+    /// Returns whether this state has a different document under the same
+    /// version as `decided`.
     pub fn conflicts_with(&self, decided: &Self) -> bool {
         match (self.document_id(), decided.document_id()) {
             (Some(held), Some(decided)) => held.version == decided.version && held != decided,
@@ -202,12 +212,12 @@
         }
     }
 
-    /// Which configuration it is; `None` without one.
+    /// Returns the ID of the configuration, or `None` if there is none.
     pub fn document_id(&self) -> Option<DocumentId> {
         self.configuration.as_ref().map(ConfigDocument::id)
     }
 
-    /// Version of the configuration; 0 without one.
+    /// Returns the version of the configuration, or 0 if there is none.
     pub fn config_version(&self) -> ConfigVersion {
         let document = self.configuration.as_ref();
         document
--- a/crates/moleroad_gateway/src/counted_stream.rs
+++ b/crates/moleroad_gateway/src/counted_stream.rs
@@ -1,4 +1,4 @@
-//! Connections between daemons whose bytes are counted.
+//! A TCP stream that counts the bytes transferred between daemons.
 
 use prometheus::IntCounter;
 use std::io;
@@ -7,23 +7,23 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Bytes that passed between this daemon and others.
+/// Counters of the bytes transferred between this daemon and others.
 #[derive(Clone)]
 pub struct PeerBytes {
-    /// Sent.
+    /// Bytes sent.
     pub sent: IntCounter,
-    /// Received.
+    /// Bytes received.
     pub received: IntCounter,
 }
 
-/// A connection to another daemon.
+/// A connection to another daemon that counts its traffic.
 pub struct CountedStream {
     stream: TcpStream,
     bytes: PeerBytes,
 }
 
 impl CountedStream {
-    /// Counts what passes over `stream` from now on.
+    /// Wraps `stream` and adds its traffic to `bytes`.
     pub fn new(stream: TcpStream, bytes: PeerBytes) -> Self {
         Self { stream, bytes }
     }
--- a/crates/moleroad_gateway/src/gossip/answer.rs
+++ b/crates/moleroad_gateway/src/gossip/answer.rs
@@ -1,14 +1,14 @@
-//! Answering a greeting.
+//! Answers a hello from another daemon.
 
 use crate::control_member::MemberInput;
-use crate::gossip::take;
+use crate::gossip::apply;
 use crate::halls::{HallUpdates, Source};
 use crate::node::Node;
 use crate::peer::{Hello, HelloAnswer};
 use moleroad_directory::prelude::*;
 use std::sync::Arc;
 
-/// Takes what the caller says and answers what it asks.
+/// Merges the caller's updates and returns the delta that it requested.
 pub fn answer(node: &Arc<Node>, hello: Hello) -> HelloAnswer {
     let now = node.clock.now();
     node.take_halls(&hello.halls, Source::Greeting);
@@ -20,10 +20,11 @@
     let own = view.own.clone();
     let caller = hello.from.take(&mut view.directory, now, &own);
     if caller.load_changed {
-        take::count_load(&mut view, now, &caller.instance);
+        apply::record_load(&mut view, now, &caller.instance);
     }
     let mut changed = caller.record_changed;
-    // A relay of another hall asks for this hall only and is no news to pass on.
+    // Callers that request only this hall's records are relays of other halls.
+    // They do not count as direct contacts, whose records are forwarded.
     if hello.question.scope != Scope::CalleesHall {
         view.directory.record_direct_contact(now, &caller.instance);
     }
@@ -33,8 +34,8 @@
     }
     view.update_leader(hello.leader);
     let record = view.directory.daemon(&caller.instance);
-    let peer = record.map(|heard| heard.record.peer);
-    let is_agent = record.is_some_and(|heard| heard.record.role == DaemonRole::Agent);
+    let peer = record.map(|observed| observed.record.peer);
+    let is_agent = record.is_some_and(|observed| observed.record.role == DaemonRole::Agent);
     view.directory.merge_daemon(now, own, 0);
     let news = view.directory.news(
         now,
@@ -45,7 +46,7 @@
     );
     node.metrics.count_exchanged_records("sent", &news);
     let has_new_catalog = view.catalog.digest() != hello.catalog_digest;
-    let tells_catalog = is_agent && has_new_catalog && !view.catalog.models.is_empty();
+    let sends_catalog = is_agent && has_new_catalog && !view.catalog.models.is_empty();
     let (ends, ends_cursor) = view.ends_after(now, hello.ends_after);
     let answer = HelloAnswer {
         ends,
@@ -60,7 +61,7 @@
             view.named_ages(now)
         },
         leader: view.leader,
-        catalog: tells_catalog.then(|| view.catalog.clone()),
+        catalog: sends_catalog.then(|| view.catalog.clone()),
         halls: if view.has_no_newer_halls_than(&hello.halls) {
             HallUpdates::new()
         } else {
@@ -71,11 +72,11 @@
     let differs = view.has_conflicting_document(hello.config_version, hello.config_digest);
     drop(view);
     if node.settings.role.has_full_state() {
-        take::put_to_use(node, changed);
+        apply::apply_changes(node, changed);
     }
     if differs {
         let node = node.clone();
-        tokio::spawn(async move { crate::gossip::settle(&node).await });
+        tokio::spawn(async move { crate::gossip::restore_decided(&node).await });
     }
     if let Some(peer) = peer.filter(|_| is_behind) {
         let node = node.clone();
--- a/crates/moleroad_gateway/src/gossip/take.rs
+++ b/crates/moleroad_gateway/src/gossip/apply.rs
@@ -1,16 +1,17 @@
-//! Putting to use what other daemons say.
+//! Makes requests use state received from other daemons.
 
 use crate::node::Node;
 use crate::target_updates;
 use crate::view::View;
 use moleroad_types::prelude::{InstanceId, Millis};
 
-/// Counts what an agent read of its engine as the engine's load.
-pub fn count_load(view: &mut View, now: Millis, instance: &InstanceId) {
-    let Some(heard) = view.directory.daemon(instance) else {
+/// Records the engine load in an agent's report as the load of the
+/// corresponding target.
+pub fn record_load(view: &mut View, now: Millis, instance: &InstanceId) {
+    let Some(observed) = view.directory.daemon(instance) else {
         return;
     };
-    let (Some(engine), Some(report)) = (heard.record.engine, &heard.record.report) else {
+    let (Some(engine), Some(report)) = (observed.record.engine, &observed.record.report) else {
         return;
     };
     let (running, queued) = (report.running, report.queued);
@@ -23,9 +24,9 @@
     }
 }
 
-/// Lets requests go by what was learned; `changed` says that the targets that
-/// may get requests may be others.
-pub fn put_to_use(node: &Node, changed: bool) {
+/// Re-evaluates waiting requests after an update. `changed` says that the set
+/// of eligible targets may have changed.
+pub fn apply_changes(node: &Node, changed: bool) {
     if changed {
         target_updates::applied(node);
     } else {
--- a/crates/moleroad_gateway/src/gossip/hello.rs
+++ b/crates/moleroad_gateway/src/gossip/hello.rs
@@ -1,27 +1,32 @@
-//! What a greeting tells and asks.
+//! Builds the hello that one gossip exchange begins with.
 
 use crate::node::Node;
 use crate::peer::Hello;
 use moleroad_directory::prelude::*;
 use moleroad_membership::prelude::*;
 
-/// What this daemon tells a contact, and what that contact then was told.
-pub(super) fn hello(node: &Node, contact: &Contact, told: PeerState) -> (Hello, PeerState) {
+/// Builds the hello for a contact, given what was exchanged with it so far.
+/// Also returns the exchange state to record once the contact has answered.
+pub(super) fn build_hello(
+    node: &Node,
+    contact: &Contact,
+    peer_state: PeerState,
+) -> (Hello, PeerState) {
     let now = node.clock.now();
     let mut view = node.view();
     let own = view.own.clone();
     view.directory.merge_daemon(now, own, 0);
-    let called = |heard: &&Observed<TargetRecord>| {
-        let call = view.to_tell.get(&heard.record.id);
-        call.is_some_and(|call| *call > told.calls)
+    let was_announced = |observed: &&Observed<TargetRecord>| {
+        let call = view.to_tell.get(&observed.record.id);
+        call.is_some_and(|call| *call > peer_state.calls)
     };
-    let targets = view.directory.targets().filter(called);
-    let targets = targets.map(|heard| heard.aged(now)).collect();
-    let (ends, ends_position) = view.target_ends_since(now, told.ends_position);
-    let mut next = told;
+    let targets = view.directory.targets().filter(was_announced);
+    let targets = targets.map(|observed| observed.aged(now)).collect();
+    let (ends, ends_position) = view.target_ends_since(now, peer_state.ends_position);
+    let mut next = peer_state;
     let question = next.question(now, contact);
     let hello = Hello {
-        from: CallerUpdate::since(&view.directory, &view.own, told.position),
+        from: CallerUpdate::since(&view.directory, &view.own, peer_state.position),
         member: node.core.as_ref().map(|core| core.own.clone()),
         config_version: view.state.config_version(),
         config_digest: view.config_digest,
@@ -36,7 +41,7 @@
             .settings
             .role
             .has_full_state()
-            .then_some(told.ends_cursor),
+            .then_some(peer_state.ends_cursor),
     };
     let next = PeerState {
         ends_position,
--- a/crates/moleroad_gateway/src/gossip/mod.rs
+++ b/crates/moleroad_gateway/src/gossip/mod.rs
@@ -1,18 +1,21 @@
-//! Telling other daemons of this one, and learning from their answers.
+//! Gossip between daemons: each periodically sends a hello with its own updates
+//! to selected contacts and applies the delta in their answers. Metrics call
+//! one such exchange a greeting.
 //!
-//! [`moleroad_membership`] says whom to greet and how often and keeps what was
-//! said; here are the calls. `hello` is what is said, [`answer`] the callee's side,
-//! [`take`] puts to use what was heard.
+//! [`moleroad_membership`] selects the contacts and intervals and records what
+//! was exchanged; this module makes the calls. `hello` builds the request,
+//! [`answer`] is the callee's side, and [`apply`] makes requests use the
+//! updated state.
 
 pub mod answer;
+pub mod apply;
 mod hello;
-pub mod take;
 
 use crate::halls::Source;
 use crate::node::Node;
 use crate::operator;
 use crate::peer::HelloAnswer;
-use hello::hello;
+use hello::build_hello;
 use moleroad_config::prelude::ConfigVersion;
 use moleroad_directory::prelude::*;
 use moleroad_membership::contacts::ISOLATION_TIMEOUT_MS;
@@ -22,24 +25,24 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// Time between looks at whom to greet, in milliseconds.
-const LOOK_MS: u64 = 50;
-/// Time for an answer.
+/// Longest time between two checks for contacts that are due, in milliseconds.
+const CHECK_INTERVAL_MS: u64 = 50;
+/// Time limit for the answer to a hello.
 const HELLO_TIMEOUT: Duration = Duration::from_millis(700);
-/// Time for a whole state to arrive.
+/// Time limit for fetching another daemon's complete state.
 const PULL_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Greets others until the process ends.
+/// Exchanges hellos with due contacts until the process ends.
 pub async fn greet(node: Arc<Node>) {
-    let greeted: Arc<Mutex<GossipState>> = Arc::default();
+    let gossip_state: Arc<Mutex<GossipState>> = Arc::default();
     loop {
         drop(node.standstill());
-        for contact in due(&node, &greeted) {
-            lock(&greeted).begin(node.clock.now(), contact.address);
-            tokio::spawn(greet_one(node.clone(), contact, greeted.clone()));
+        for contact in due(&node, &gossip_state) {
+            lock(&gossip_state).begin(node.clock.now(), contact.address);
+            tokio::spawn(exchange_hello(node.clone(), contact, gossip_state.clone()));
         }
-        let look = Duration::from_millis(LOOK_MS);
-        let _ = tokio::time::timeout(look, node.news.notified()).await;
+        let interval = Duration::from_millis(CHECK_INTERVAL_MS);
+        let _ = tokio::time::timeout(interval, node.news.notified()).await;
         let now = node.clock.now();
         let mut view = node.view();
         view.directory.expire(now);
@@ -48,38 +51,40 @@
     }
 }
 
-fn lock(greeted: &Mutex<GossipState>) -> MutexGuard<'_, GossipState> {
-    greeted.lock().unwrap_or_else(|error| error.into_inner())
+fn lock(gossip_state: &Mutex<GossipState>) -> MutexGuard<'_, GossipState> {
+    gossip_state
+        .lock()
+        .unwrap_or_else(|error| error.into_inner())
 }
 
-/// Contacts to greet now.
-fn due(node: &Node, greeted: &Mutex<GossipState>) -> Vec<Contact> {
+/// Returns the contacts that are due now.
+fn due(node: &Node, gossip_state: &Mutex<GossipState>) -> Vec<Contact> {
     let now = node.clock.now();
     let seeds = node.seeds();
     let mut view = node.view();
     let own = view.own.clone();
     view.directory.merge_daemon(now, own, 0);
-    let passes_ends_on = node.settings.role.has_full_state();
-    let ends_position = passes_ends_on.then(|| view.quarantine.suspects.position());
-    let greeted = lock(greeted);
-    let standing = ContactPlanner {
+    let forwards_ends = node.settings.role.has_full_state();
+    let ends_position = forwards_ends.then(|| view.quarantine.suspects.position());
+    let gossip_state = lock(gossip_state);
+    let planner = ContactPlanner {
         now,
         directory: &view.directory,
         own: &view.own,
         seeds: &seeds,
-        resting: &greeted.resting(now),
+        resting: &gossip_state.resting(now),
         is_busy: node.in_flight.load(std::sync::atomic::Ordering::Relaxed) > 0,
         lacks_configuration: view.table.is_none() && view.catalog.models.is_empty(),
         is_young: node.is_young(now),
-        is_lost: greeted.silent_ms(now) >= ISOLATION_TIMEOUT_MS,
+        is_lost: gossip_state.silent_ms(now) >= ISOLATION_TIMEOUT_MS,
     };
-    greeted.due(now, standing.contacts(), ends_position)
+    gossip_state.due(now, planner.contacts(), ends_position)
 }
 
-async fn greet_one(node: Arc<Node>, contact: Contact, greeted: Arc<Mutex<GossipState>>) {
+async fn exchange_hello(node: Arc<Node>, contact: Contact, gossip_state: Arc<Mutex<GossipState>>) {
     let address = contact.address;
-    let before = lock(&greeted).told(address);
-    let (hello, next) = hello(&node, &contact, before);
+    let before = lock(&gossip_state).told(address);
+    let (hello, next) = build_hello(&node, &contact, before);
     let answer = node
         .peers
         .call(address, HELLO_TIMEOUT, |client, context| async move {
@@ -99,16 +104,16 @@
     } else {
         "unanswered"
     };
-    let labels = [name_of(&contact), outcome];
+    let labels = [scope_label(&contact), outcome];
     node.metrics.greetings.with_label_values(&labels).inc();
     let now = node.clock.now();
     let Ok(answer) = answer else {
-        lock(&greeted).unanswered(now, &contact, before);
+        lock(&gossip_state).unanswered(now, &contact, before);
         return;
     };
     let (config_version, config_digest) = (answer.config_version, answer.config_digest);
     let is_whole = answer.news.is_whole();
-    take_answer(&node, &contact, next, answer, &greeted);
+    apply_answer(&node, &contact, next, answer, &gossip_state);
     if is_behind(&node, config_version) {
         pull(&node, address).await;
     }
@@ -116,17 +121,18 @@
         .view()
         .has_conflicting_document(config_version, config_digest);
     if differs {
-        settle(&node).await;
+        restore_decided(&node).await;
     }
-    // A fetch may have failed, or another one may still be under way.
+    // The state is current only now: a fetch of the configuration may have
+    // failed, or another one may still be in flight.
     let is_asked = contact.scope != Scope::Nothing;
     if is_asked && is_whole && !is_behind(&node, config_version) {
         node.standstill().heard(Millis(next.at));
     }
 }
 
-/// What a contact is asked, as the metrics name it.
-fn name_of(contact: &Contact) -> &'static str {
+/// Returns the metric label for the scope that is requested from a contact.
+fn scope_label(contact: &Contact) -> &'static str {
     match contact.scope {
         _ if contact.relays_suffice => "whom_to_ask",
         Scope::Nothing => "nothing",
@@ -135,13 +141,13 @@
     }
 }
 
-/// Takes an answer to a greeting that told the contact `next`.
-fn take_answer(
+/// Applies the answer to a hello that left the contact in state `next`.
+fn apply_answer(
     node: &Arc<Node>,
     contact: &Contact,
     next: PeerState,
     answer: HelloAnswer,
-    greeted: &Mutex<GossipState>,
+    gossip_state: &Mutex<GossipState>,
 ) {
     let now = node.clock.now();
     node.take_halls(&answer.halls, Source::Greeting);
@@ -152,20 +158,20 @@
         has_more: answer.news.has_more,
         ends_cursor: answer.ends_cursor,
     };
-    let taken = {
+    let applied = {
         let mut view = node.view();
-        let mut greeted = lock(greeted);
-        greeted.answered(now, contact, next, answered);
+        let mut gossip_state = lock(gossip_state);
+        gossip_state.answered(now, contact, next, answered);
         node.metrics
             .count_exchanged_records("received", &answer.news);
         let own = view.own.instance.clone();
-        let slots = greeted.slots(contact.address);
-        let taken = view.directory.apply_delta(now, &own, answer.news, slots);
-        if !taken.is_complete {
-            greeted.reset_cursor(contact.address);
+        let slots = gossip_state.slots(contact.address);
+        let applied = view.directory.apply_delta(now, &own, answer.news, slots);
+        if !applied.is_complete {
+            gossip_state.reset_cursor(contact.address);
         }
-        for instance in &taken.loads {
-            take::count_load(&mut view, now, instance);
+        for instance in &applied.loads {
+            apply::record_load(&mut view, now, instance);
         }
         for (model, versions) in &answer.versions {
             for version in versions {
@@ -183,26 +189,28 @@
             view.catalog = catalog;
         }
         view.update_leader(answer.leader);
-        taken
+        applied
     };
     if node.settings.role.has_full_state() {
-        take::put_to_use(node, taken.changed);
+        apply::apply_changes(node, applied.changed);
     }
     if answered.has_more {
         node.news.notify_waiters();
     }
 }
 
-/// Whether this daemon lacks a configuration that it needs, of which it was told.
+/// Returns whether this daemon needs the configuration and has an older version
+/// than `config_version`.
 fn is_behind(node: &Node, config_version: ConfigVersion) -> bool {
     node.settings.role.has_full_state() && config_version > node.view().state.config_version()
 }
 
-/// Reads the decided configuration out of the log, unless something is being fetched:
-/// another daemon holds another document under the same version, and one of the two
-/// was not decided.
-pub async fn settle(node: &Arc<Node>) {
-    let Some(_pulling) = node.begin_pull() else {
+/// Replaces this daemon's configuration with the committed one, read through
+/// the control group. Called when another daemon has a different document under
+/// the same version, so one of the two was never committed. Does nothing while
+/// another fetch is in flight.
+pub async fn restore_decided(node: &Arc<Node>) {
+    let Some(_pull_guard) = node.begin_pull() else {
         return;
     };
     node.metrics.count("configuration_differs");
@@ -211,9 +219,10 @@
     operator::read(node).await;
 }
 
-/// Takes what another daemon has in force, unless it is being fetched.
+/// Fetches and merges another daemon's state, unless another fetch is in
+/// flight.
 pub async fn pull(node: &Arc<Node>, address: SocketAddr) {
-    let Some(_pulling) = node.begin_pull() else {
+    let Some(_pull_guard) = node.begin_pull() else {
         return;
     };
     let pulled = node
--- a/crates/moleroad_gateway/src/peer.rs
+++ b/crates/moleroad_gateway/src/peer.rs
@@ -1,4 +1,4 @@
-//! Calls between the daemons, over tarpc.
+//! Remote calls between daemons, over tarpc.
 
 use crate::control_state::{ControlCommand, ControlState, DocumentId};
 use crate::evacuations::HallOrderResult;
@@ -15,83 +15,88 @@
 use std::hash::{Hash, Hasher};
 use std::net::SocketAddr;
 
-/// The leader of the control group, as a daemon believes.
+/// The leader of the control group as known to a daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LeaderHint {
-    /// Its term; the highest one is the newest.
+    /// Term of the leader; a higher term is newer.
     pub term: u64,
-    /// Where it takes calls of daemons.
+    /// Address at which it takes calls from daemons.
     pub address: SocketAddr,
 }
 
-/// A daemon tells of itself and asks for news.
+/// One gossip request: carries the caller's updates and requests the callee's.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Hello {
-    /// The daemon.
+    /// The caller's record and the updates that it forwards.
     pub from: CallerUpdate,
-    /// Its disk, if it could be a member of the control group.
+    /// The caller as a member of the control group; `None` if it has no disk
+    /// for the log.
     pub member: Option<MemberInfo>,
-    /// Version of the configuration that it has in force.
+    /// Version of the caller's configuration.
     pub config_version: ConfigVersion,
-    /// Versions of models that it knows to be named.
+    /// Highest version of each model that the caller knows to be named.
     pub versions: BTreeMap<String, u64>,
-    /// The leader, as it believes.
+    /// The leader as known to the caller.
     pub leader: Option<LeaderHint>,
-    /// Targets that called it since its last hello.
+    /// Records of targets that contacted the caller since its last hello to
+    /// this callee.
     pub targets: Vec<Aged<TargetRecord>>,
-    /// What it wants to hear.
+    /// The requested part of the callee's directory.
     pub question: DeltaRequest,
-    /// Digest of the [`Catalog`] that it knows; agents only.
+    /// Digest of the caller's [`Catalog`]; used by agents only.
     pub catalog_digest: u64,
-    /// Halls that were ever evacuated, as it knows them.
+    /// State of all halls that were ever evacuated, as known to the caller.
     #[serde(default)]
     pub halls: HallUpdates,
-    /// Targets that ended under requests, of which it has not told the callee.
+    /// Targets that terminated while running requests, as far as not yet
+    /// reported to the callee.
     #[serde(default)]
     pub ends: Vec<TerminationReport>,
-    /// Up to where it knows what the callee knows of such ends; `None` when it
-    /// wants to hear nothing of them.
+    /// Position in the callee's reports of terminated targets up to which the
+    /// caller has them; `None` if the caller does not request them.
     #[serde(default)]
     pub ends_after: Option<Cursor>,
-    /// Begin of the digest of the configuration that it has in force; 0 without one.
+    /// First bytes of the digest of the caller's configuration; 0 without one.
     #[serde(default)]
     pub config_digest: u64,
 }
 
-/// A version of a model and how long ago it was named.
+/// A version of a model and the time since it was named.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct VersionAge {
     /// Version of the weights.
     pub version: u64,
-    /// How long ago this daemon learned of it, in milliseconds.
+    /// Time since the version was named, as far as the sender knows, in
+    /// milliseconds.
     pub age_ms: u64,
 }
 
-/// A model that engines of a service run.
+/// A model that the engines of a service run.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct CatalogModel {
-    /// Service of the engines.
+    /// Name of the service.
     pub service: String,
     /// Name of the model.
     pub model: String,
-    /// Layers that make it up.
+    /// Number of layers.
     pub layers: u32,
-    /// Pieces that its weights come in.
+    /// Number of pieces that the weights are split into.
     pub pieces: u32,
     /// Size of a piece, in bytes.
     pub piece_bytes: u64,
-    /// How long a usual answer is written, in milliseconds.
+    /// Typical duration of a request, in milliseconds.
     pub usual_request_ms: u64,
 }
 
 impl CatalogModel {
-    /// Number of the digests among the parts of a version that spread: they
-    /// come after the pieces.
+    /// Returns the part number of the digests among the distributed parts of a
+    /// version. They come after the pieces.
     pub fn digests_part(&self) -> u32 {
         self.pieces
     }
 
-    /// Parts of a version that spread: its pieces and their digests.
+    /// Returns the number of distributed parts of a version: its pieces and
+    /// their digests.
     pub fn parts(&self) -> u32 {
         self.pieces + 1
     }
@@ -102,30 +107,32 @@
 pub struct CatalogOrigin {
     /// Address that serves manifests and pieces.
     pub address: SocketAddr,
-    /// Its data hall.
+    /// Data hall of the origin.
     pub hall: Option<String>,
-    /// Rate of its link, in kbit/s; 0 unset.
+    /// Bandwidth of its link in kbit/s; 0 if not set.
     pub link_kbps: u64,
-    /// Most connections that it takes from all agents; 0 unset.
+    /// Maximum number of connections from all agents together; 0 if not set.
     pub max_connections: u32,
 }
 
-/// What the pieces of a version must hash to, as agents tell each other.
+/// SHA-256 digests of all pieces of a version, in order, as sent between
+/// agents.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct SharedDigests(pub Vec<[u8; 32]>);
 
-/// What an agent has of a version, as it tells the agents below it.
+/// A part of a version that an agent announces to the agents below it in the
+/// distribution tree.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Offer {
-    /// A piece that it can give.
+    /// A piece that the agent has.
     Piece(u32),
-    /// A piece that it draws from the origin.
+    /// A piece that the agent is fetching from the origin.
     Coming(u32),
-    /// What the pieces must hash to.
+    /// The digests of all pieces.
     Digests(SharedDigests),
 }
 
-/// What agents need of the configuration.
+/// The part of the configuration that agents need.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Catalog {
     /// Models.
@@ -135,7 +142,7 @@
 }
 
 impl Catalog {
-    /// Changes with what it holds.
+    /// Returns a hash of the content.
     pub fn digest(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         self.hash(&mut hasher);
@@ -146,110 +153,114 @@
 /// Answers a [`Hello`].
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct HelloAnswer {
-    /// Whether the callee does not have the caller's record.
+    /// Whether the callee has no record of the caller.
     pub unknown_caller: bool,
-    /// What the caller asked for.
+    /// The requested delta of the callee's directory.
     pub news: News,
-    /// Version of the configuration that the callee has in force.
+    /// Version of the callee's configuration.
     pub config_version: ConfigVersion,
-    /// Versions of models.
+    /// Named versions of each model and their ages.
     pub versions: BTreeMap<String, Vec<VersionAge>>,
-    /// The leader, as the callee believes.
+    /// The leader as known to the callee.
     pub leader: Option<LeaderHint>,
-    /// What agents need of the configuration, when it changed.
+    /// The catalog, if the caller is an agent and its catalog differs.
     pub catalog: Option<Catalog>,
-    /// Halls that were ever evacuated, where the caller does not know all that
-    /// the callee knows of them.
+    /// State of all halls that were ever evacuated; empty if the caller knows
+    /// as much as the callee.
     #[serde(default)]
     pub halls: HallUpdates,
-    /// Targets that ended under requests, of which the callee has not told the
-    /// caller.
+    /// Targets that terminated while running requests, as far as not yet
+    /// reported to the caller.
     #[serde(default)]
     pub ends: Vec<TerminationReport>,
-    /// Up to where the caller knows of such ends after this answer.
+    /// Position in the callee's reports of terminated targets up to which the
+    /// caller has them after this answer.
     #[serde(default)]
     pub ends_cursor: Cursor,
-    /// Begin of the digest of the configuration that the callee has in force; 0 without
-    /// one.
+    /// First bytes of the digest of the callee's configuration; 0 without one.
     #[serde(default)]
     pub config_digest: u64,
 }
 
-/// What became of a change that another daemon passed on.
+/// Outcome of a change that another daemon forwarded to the leader.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum CommitAnswer {
-    /// It, or a later one of its kind, is durable on a majority and applied; says
-    /// which configuration is in force with it.
+    /// The change, or a later one that supersedes it, is durable on a majority
+    /// and applied. Carries the ID of the configuration in force afterwards.
     Committed(Option<DocumentId>),
-    /// The callee does not lead; the leader as it believes.
+    /// The callee is not the leader. Carries the leader as known to the callee.
     NotLeader(Option<LeaderHint>),
-    /// It may or may not come to be.
+    /// The change may or may not be committed.
     Unknown,
-    /// An order for a hall is durable and applied; this is what it came to.
+    /// An order for a data hall is durable on a majority and applied, with this
+    /// result.
     Hall(HallOrderResult),
 }
 
-/// News of targets that entries must have at once.
+/// An update of a target that all entries must get immediately.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum TargetUpdate {
-    /// A target told something new of itself.
+    /// The target's record changed.
     Changed(Aged<TargetRecord>),
-    /// A target is gone.
+    /// The target was removed.
     Gone(TargetId),
 }
 
-/// What an engine has in hand at this moment.
+/// Current load of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineLoad {
-    /// Requests that run.
+    /// Requests that are running.
     pub running: u32,
-    /// Requests that wait or whose prompt is being read.
+    /// Requests that are queued or in prefill.
     pub queued: u32,
-    /// Whether it takes new requests.
+    /// Whether the engine accepts new requests.
     pub takes_new: bool,
-    /// How long ago the engine began, in milliseconds; `None` when it was there
+    /// Time since the engine started, in milliseconds; `None` if it was running
     /// before the agent.
     #[serde(default)]
     pub engine_age_ms: Option<u64>,
-    /// How much longer it is cold by what entries heard from it, in
-    /// milliseconds.
+    /// Time for which the engine is still cold according to its own reports to
+    /// entries, in milliseconds.
     #[serde(default)]
     pub cold_left_ms: u64,
-    /// Requests that may be sent to it now while it is cold; `None` before
-    /// any entry asked.
+    /// Requests that may be sent to the cold engine now; `None` if no entry has
+    /// requested a grant yet.
     #[serde(default)]
     pub grants_free: Option<u32>,
-    /// The same for the limit that it named.
+    /// Requests that may be sent now to the rate-limited target with the fewest
+    /// remaining grants, of those that the callee owns; `None` if no entry has
+    /// requested such a grant yet.
     #[serde(default)]
     pub limit_grants_free: Option<u32>,
 }
 
 impl EngineLoad {
-    /// Whether nothing may be sent to it now, for want of grants.
+    /// Returns whether no request may be sent now because all grants are used.
     pub fn has_no_grant(&self) -> bool {
         self.grants_free == Some(0) || self.limit_grants_free == Some(0)
     }
 }
 
-/// An entry asks whether it may send one request to a cold engine.
+/// Requests a grant to send one request to a cold engine.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GrantRequest {
-    /// Requests a second that the engine should get.
+    /// Rate limit of the engine, in requests per second.
     pub requests_per_s: f64,
-    /// Most requests that it may get in any one second.
+    /// Maximum number of requests within any one second.
     pub most_in_a_second: f64,
-    /// How much longer it is cold by what the entry heard, in milliseconds; 0
-    /// when it only cannot tell.
+    /// Time for which the engine is still cold according to its reports to the
+    /// entry, in milliseconds; 0 if the entry only cannot rule out that it is
+    /// cold.
     pub left_ms: u64,
 }
 
-/// An entry asks the owner of a target that named a limit whether it may send one
-/// request there.
+/// Requests a grant from the owner of a rate-limited target to send one request
+/// to it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitGrantRequest {
     /// The target.
     pub target: TargetId,
-    /// Requests that it takes from all entries.
+    /// Rate that the target accepts from all entries together.
     pub rate: RequestRate,
 }
 
@@ -260,35 +271,38 @@
     pub is_given: bool,
 }
 
-/// Calls that every daemon takes from others.
+/// Remote calls that every daemon serves.
 #[tarpc::service]
 pub trait Peer {
-    /// Tells of the caller, asks for news.
+    /// Exchanges gossip updates.
     async fn hello(hello: Hello) -> HelloAnswer;
-    /// Brings a message of a member of the control group.
+    /// Delivers a consensus message from a member of the control group.
     async fn consensus(from: MemberInfo, message: Message);
-    /// Brings news of targets.
+    /// Delivers updates of targets.
     async fn targets(news: Vec<TargetUpdate>);
-    /// Brings news of targets that the callee is to pass on to these entries.
+    /// Delivers updates of targets, which the callee forwards to the entries
+    /// `to`.
     async fn pass_on(news: Vec<TargetUpdate>, to: Vec<SocketAddr>);
-    /// Asks the leader for a change.
+    /// Proposes a change to the leader.
     async fn propose(command: ControlCommand) -> CommitAnswer;
-    /// Asks the leader for what is in force now.
+    /// Reads the current state from the leader.
     async fn read() -> Result<ControlState, Option<LeaderHint>>;
-    /// Brings what is in force.
+    /// Delivers the caller's state.
     async fn push(state: ControlState);
-    /// Asks for what the callee has in force.
+    /// Returns the callee's state.
     async fn pull() -> ControlState;
-    /// Asks an agent what its engine has in hand now.
+    /// Returns the current load of an agent's engine.
     async fn engine_load() -> Option<EngineLoad>;
-    /// Asks an agent for the digests of a version.
+    /// Returns the digests of a version, if the agent has them.
     async fn digests(model: String, version: u64) -> Option<SharedDigests>;
-    /// Tells an agent what the agent at `from` has of a version.
+    /// Announces a part of a version that the agent at `from` has or is
+    /// fetching.
     async fn offer(model: String, version: u64, offer: Offer, from: SocketAddr);
-    /// Asks an agent for a piece of weights.
+    /// Returns a piece of weights, if the agent has it and can send it now.
     async fn piece(model: String, version: u64, piece: u32) -> Option<ByteBuf>;
-    /// Asks an agent whether a request may go to its engine while it is cold.
+    /// Requests a grant to send one request to an agent's cold engine.
     async fn grant(ask: GrantRequest) -> GrantAnswer;
-    /// Asks the owner of a target whether a request may go there within its limit.
+    /// Requests a grant to send one request to a rate-limited target that the
+    /// callee owns.
     async fn limit_grant(ask: LimitGrantRequest) -> GrantAnswer;
 }
--- a/crates/moleroad_gateway/src/peer_server.rs
+++ b/crates/moleroad_gateway/src/peer_server.rs
@@ -1,4 +1,4 @@
-//! Calls that other daemons make here.
+//! Serves remote calls from other daemons.
 
 use crate::control_member::MemberInput;
 use crate::control_state::{ControlCommand, ControlState};
@@ -20,10 +20,10 @@
 use tarpc::server::{BaseChannel, Channel};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Most calls of one connection that are worked on at once.
-const MAX_CALLS: usize = 128;
+/// Maximum number of concurrent calls per connection.
+const MAX_CONCURRENT_CALLS: usize = 128;
 
-/// Takes connections of other daemons until the process ends.
+/// Accepts and serves connections from other daemons until the process ends.
 pub async fn serve(node: Arc<Node>, listener: TcpListener) {
     accept_connections(listener, |connection| {
         serve_connection(node.clone(), connection)
@@ -35,8 +35,8 @@
     let bytes = node.metrics.peer_bytes();
     let channel = BaseChannel::with_defaults(transport(connection, bytes));
     channel
-        .max_concurrent_requests(MAX_CALLS)
-        .execute(Callee { node }.serve())
+        .max_concurrent_requests(MAX_CONCURRENT_CALLS)
+        .execute(PeerServer { node }.serve())
         .for_each(|call| async move {
             tokio::spawn(call);
         })
@@ -44,11 +44,11 @@
 }
 
 #[derive(Clone)]
-struct Callee {
+struct PeerServer {
     node: Arc<Node>,
 }
 
-impl Peer for Callee {
+impl Peer for PeerServer {
     async fn hello(self, _: Context, hello: Hello) -> HelloAnswer {
         crate::gossip::answer::answer(&self.node, hello)
     }
@@ -100,10 +100,10 @@
     }
 
     async fn offer(self, _: Context, model: String, version: u64, offer: Offer, from: SocketAddr) {
-        crate::agent::offers::take(&self.node, &model, version, offer, from);
+        crate::agent::offers::receive(&self.node, &model, version, offer, from);
     }
 
     async fn piece(self, _: Context, model: String, version: u64, piece: u32) -> Option<ByteBuf> {
-        crate::agent::uploads::give(&self.node, &model, version, piece).await
+        crate::agent::uploads::serve_piece(&self.node, &model, version, piece).await
     }
 }
--- a/crates/moleroad_gateway/src/peers.rs
+++ b/crates/moleroad_gateway/src/peers.rs
@@ -1,5 +1,5 @@
-//! Connections to other daemons: one each, made when needed, dropped when a
-//! call on it fails.
+//! Client side of the calls between daemons. Each daemon has one connection,
+//! which is opened on first use and dropped when a call on it fails.
 
 use crate::counted_stream::{CountedStream, PeerBytes};
 use crate::peer::PeerClient;
@@ -13,23 +13,24 @@
 use tokio::net::TcpStream;
 use tokio_serde::formats::MessagePack;
 
-/// Time for a connection to come up.
+/// Time limit for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
-/// Time after which unacknowledged bytes end a connection.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(2_500);
-/// Most calls under way to one daemon; further ones fail at once.
+/// Time after which a connection with unacknowledged data is closed.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Maximum number of calls in flight to one daemon; further calls fail
+/// immediately.
 const MAX_IN_FLIGHT: usize = 96;
 /// Largest message, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 24 << 20;
 
-/// Why a call did not bring an answer.
+/// Reason why a call returned no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallError {
-    /// No connection came up.
+    /// No connection could be opened.
     Unreachable,
-    /// Too many calls are under way.
+    /// Too many calls are in flight.
     Busy,
-    /// No answer came in time, or the connection broke.
+    /// The call timed out or the connection broke.
     NoAnswer,
 }
 
@@ -46,14 +47,15 @@
     serial: u64,
 }
 
-/// Calls other daemons.
+/// Connections to all other daemons.
 pub struct Peers {
     connections: Mutex<Connections>,
     bytes: PeerBytes,
 }
 
 impl Peers {
-    /// Without connections; what passes over those to come is counted.
+    /// Creates an empty set of connections. The traffic of later connections is
+    /// added to `bytes`.
     pub fn new(bytes: PeerBytes) -> Self {
         Self {
             connections: Mutex::default(),
@@ -64,7 +66,8 @@
     /// Calls the daemon at `address`, waiting at most `timeout`.
     ///
     /// # Errors
-    /// [`CallError`]; the call may have been carried out all the same.
+    /// [`CallError`]. After [`CallError::NoAnswer`] the callee may have
+    /// executed the call.
     pub async fn call<T, F>(
         &self,
         address: SocketAddr,
@@ -79,7 +82,7 @@
         if connection.in_flight.load(Ordering::Relaxed) >= MAX_IN_FLIGHT {
             return Err(CallError::Busy);
         }
-        let _counted = Counted::new(&connection.in_flight);
+        let _in_flight = InFlightGuard::new(&connection.in_flight);
         let left = timeout.saturating_sub(started.elapsed());
         let mut context = tarpc::context::current();
         context.deadline = Instant::now() + left;
@@ -142,30 +145,32 @@
     }
 }
 
-struct Counted(Arc<AtomicUsize>);
+struct InFlightGuard(Arc<AtomicUsize>);
 
-impl Counted {
+impl InFlightGuard {
     fn new(counter: &Arc<AtomicUsize>) -> Self {
         counter.fetch_add(1, Ordering::Relaxed);
         Self(counter.clone())
     }
 }
 
-impl Drop for Counted {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// Sets what every connection of ours needs: no delay, and an end when the
-/// other side is silent.
+/// Sets the socket options that every connection between processes needs: no
+/// delay, and a timeout for unacknowledged data that closes the connection if
+/// the other side is silent.
 pub fn prepare(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
     let socket = socket2::SockRef::from(stream);
-    let _ = socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED));
+    let _ = socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT));
 }
 
-/// The wire between daemons: frames with a length, MessagePack inside.
+/// Wraps a connection in the transport between daemons: length-delimited frames
+/// of MessagePack.
 pub fn transport<Item, SinkItem>(
     stream: TcpStream,
     bytes: PeerBytes,
--- a/crates/moleroad_gateway/src/suspension.rs
+++ b/crates/moleroad_gateway/src/suspension.rs
@@ -1,76 +1,84 @@
-//! Noticing that this process stood still, or begins with what an earlier life
-//! of it knew, so that it hears what happened meanwhile before it acts on that.
+//! Detects that this process was suspended, or started with state from an
+//! earlier run. In both cases its state may be outdated, so it must receive
+//! updates from others before it acts on that state.
 
 use moleroad_types::prelude::Millis;
 
-/// Time without a look at the clock that counts as standing still, in
-/// milliseconds: operators wait a second for an answer, so older calls may have
-/// been given up and repeated elsewhere.
-pub const STOOD_STILL_MS: u64 = 1_000;
-/// Time after waking in which calls are read that came while the process stood
-/// still, in milliseconds: enough to read all that lay in the sockets, and
-/// less than the second for which operators wait, who then ask another daemon.
-const BACKLOG_MS: u64 = 300;
-/// Longest time for which requests wait for news after waking or beginning, in
-/// milliseconds: a daemon that reaches nobody goes on with what it knows.
-const NEWS_WAIT_MS: u64 = 1_000;
+/// Time between two observations above which the process counts as suspended,
+/// in milliseconds. Operators wait one second for an answer, so older calls may
+/// have timed out and been retried at another daemon.
+pub const SUSPENSION_THRESHOLD_MS: u64 = 1_000;
+/// Time after a suspension during which calls may still be read that arrived
+/// before its end, in milliseconds. Long enough to read everything buffered in
+/// the sockets, and shorter than the second after which operators retry at
+/// another daemon.
+const BACKLOG_WINDOW_MS: u64 = 300;
+/// Longest time for which requests wait for updates after a suspension or a
+/// start, in milliseconds. A daemon that reaches no other continues with the
+/// state that it has.
+const MAX_UPDATE_WAIT_MS: u64 = 1_000;
 
-/// When this process last stood still, and whether it heard of others since.
+/// Tracks when this process was last suspended, and whether it has received
+/// updates from others since then.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SuspensionDetector {
-    looked_at: Millis,
-    woke_at: Option<Millis>,
-    /// Since when it is without news of what it may have missed.
-    lacks_news_since: Option<Millis>,
+    observed_at: Millis,
+    resumed_at: Option<Millis>,
+    /// Time since which updates may have been missed; `None` when up to date.
+    outdated_since: Option<Millis>,
 }
 
 impl SuspensionDetector {
-    /// A process that begins at `now` and knows nothing yet.
+    /// Creates a detector for a process that starts at `now` without any state.
     pub fn new(now: Millis) -> Self {
         Self {
-            looked_at: now,
-            woke_at: None,
-            lacks_news_since: None,
+            observed_at: now,
+            resumed_at: None,
+            outdated_since: None,
         }
     }
 
-    /// A process that begins at `now` with what its disk kept: it missed what
-    /// happened while it was off, but no call lies in its sockets.
+    /// Creates a detector for a process that starts at `now` with state from
+    /// its disk. It missed updates while it was down, but its sockets hold no
+    /// old calls.
     pub fn with_old_state(now: Millis) -> Self {
         Self {
-            lacks_news_since: Some(now),
+            outdated_since: Some(now),
             ..Self::new(now)
         }
     }
 
-    /// Notes that the process runs; true if it has just woken. To be called
-    /// many times a second.
+    /// Records that the process is running. Returns whether it has just resumed
+    /// from a suspension. Must be called many times per second.
     pub fn look(&mut self, now: Millis) -> bool {
-        let stood_still = now.since(self.looked_at) >= STOOD_STILL_MS;
-        if stood_still {
-            self.woke_at = Some(now);
-            self.lacks_news_since = Some(now);
+        let was_suspended = now.since(self.observed_at) >= SUSPENSION_THRESHOLD_MS;
+        if was_suspended {
+            self.resumed_at = Some(now);
+            self.outdated_since = Some(now);
         }
-        self.looked_at = now;
-        stood_still
+        self.observed_at = now;
+        was_suspended
     }
 
-    /// Notes an answer with news to a question that was asked at `asked_at`.
+    /// Records an answer with updates to a request that was sent at `asked_at`.
+    /// Answers to requests sent before the suspension ended do not count.
     pub fn heard(&mut self, asked_at: Millis) {
-        if self.lacks_news_since.is_some_and(|since| asked_at >= since) {
-            self.lacks_news_since = None;
+        if self.outdated_since.is_some_and(|since| asked_at >= since) {
+            self.outdated_since = None;
         }
     }
 
-    /// Whether requests are to wait for news of what happened meanwhile.
+    /// Returns whether requests must wait for updates that the process may have
+    /// missed.
     pub fn waits_for_news(&self, now: Millis) -> bool {
-        let since = self.lacks_news_since;
-        since.is_some_and(|since| now.since(since) < NEWS_WAIT_MS)
+        let since = self.outdated_since;
+        since.is_some_and(|since| now.since(since) < MAX_UPDATE_WAIT_MS)
     }
 
-    /// Whether a call that is read now may have come long ago.
+    /// Returns whether a call that is read now may have arrived during a
+    /// suspension.
     pub fn may_read_backlog(&self, now: Millis) -> bool {
-        let woke_at = self.woke_at;
-        woke_at.is_some_and(|woke_at| now.since(woke_at) < BACKLOG_MS)
+        let resumed_at = self.resumed_at;
+        resumed_at.is_some_and(|resumed_at| now.since(resumed_at) < BACKLOG_WINDOW_MS)
     }
 }
--- a/crates/moleroad_gateway/tests/decided.rs
+++ b/crates/moleroad_gateway/tests/decided.rs
@@ -1,11 +1,12 @@
-//! Configurations of operators that race, over a real control group of one member:
-//! under each version all daemons hold the one document that was decided.
+//! Concurrent configuration changes over a real control group with one member:
+//! under each version, all daemons must end up with the one document that was
+//! committed.
 
 mod support;
 
 use moleroad_config::prelude::ConfigVersion;
 use moleroad_gateway::control_state::{ConfigDocument, ControlCommand, ControlState};
-use moleroad_gateway::gossip::settle;
+use moleroad_gateway::gossip::restore_decided;
 use moleroad_gateway::halls::Source;
 use moleroad_gateway::node::Node;
 use moleroad_gateway::operator::{commit, read};
@@ -21,98 +22,101 @@
     ControlCommand::Replace(document(version, bytes))
 }
 
-fn holding(version: u64, bytes: &str) -> ControlState {
+fn state_with(version: u64, bytes: &str) -> ControlState {
     ControlState {
         configuration: Some(document(version, bytes)),
         ..ControlState::default()
     }
 }
 
-/// What a daemon has in force: version and bytes.
-fn in_force(node: &Node) -> (u64, String) {
+/// Returns the version and content of a daemon's configuration.
+fn current_document(node: &Node) -> (u64, String) {
     let view = node.view();
     let held = view.state.configuration.as_ref().expect("a configuration");
     let bytes = held.bytes().expect("sound bytes");
     (held.version.0, String::from_utf8(bytes).expect("text"))
 }
 
-/// Brings a change until it is acknowledged; the member may not lead yet.
-async fn bring(node: &Arc<Node>, command: ControlCommand) {
+/// Proposes a change until it is acknowledged; the member may not be the leader
+/// yet.
+async fn propose_until_acknowledged(node: &Arc<Node>, command: ControlCommand) {
     for _ in 0..200 {
         if commit(node, command.clone()).await {
             return;
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    panic!("it was never acknowledged");
+    panic!("the change was never acknowledged");
 }
 
-/// Guards against an entry that puts its own document in force under a version that
-/// was decided for another.
+/// Guards against an entry that applies its own document under a version for
+/// which the control group committed another one.
 #[tokio::test]
 async fn a_document_that_changed_nothing_is_not_put_in_force_by_who_carried_it() {
     let leader = leader("decided-late");
     let (first, late) = (follower_of(&leader, "a"), follower_of(&leader, "b"));
-    bring(&first, replace(5, "decided")).await;
-    late.take_state(&holding(4, "older"), Source::Push);
-    bring(&late, replace(5, "other bytes")).await;
-    assert_eq!(in_force(&late), (5, "decided".into()));
-    bring(&late, replace(3, "late and old")).await;
-    assert_eq!(in_force(&late), (5, "decided".into()));
+    propose_until_acknowledged(&first, replace(5, "decided")).await;
+    late.take_state(&state_with(4, "older"), Source::Push);
+    propose_until_acknowledged(&late, replace(5, "other bytes")).await;
+    assert_eq!(current_document(&late), (5, "decided".into()));
+    propose_until_acknowledged(&late, replace(3, "late and old")).await;
+    assert_eq!(current_document(&late), (5, "decided".into()));
 }
 
-/// Guards against the same where both are under way at once.
+/// The same with concurrent proposals from several entries.
 #[tokio::test]
 async fn of_documents_that_race_for_a_version_all_carriers_hold_the_same() {
     let leader = leader("decided-race");
     let carriers: Vec<_> = (0..4)
         .map(|number| follower_of(&leader, &number.to_string()))
         .collect();
-    bring(&carriers[0], replace(1, "first")).await;
+    propose_until_acknowledged(&carriers[0], replace(1, "first")).await;
     for version in 2..12 {
-        let brought = carriers.iter().enumerate().map(|(number, carrier)| {
+        let proposals = carriers.iter().enumerate().map(|(number, carrier)| {
             let bytes = format!("version {version} of carrier {number}");
-            bring(carrier, replace(version, &bytes))
+            propose_until_acknowledged(carrier, replace(version, &bytes))
         });
-        futures::future::join_all(brought).await;
-        let decided = in_force(&carriers[0]);
+        futures::future::join_all(proposals).await;
+        let decided = current_document(&carriers[0]);
         assert_eq!(decided.0, version);
         for carrier in &carriers {
-            assert_eq!(in_force(carrier), decided);
+            assert_eq!(current_document(carrier), decided);
             assert!(read(carrier).await.is_some());
-            assert_eq!(in_force(carrier), decided, "after a read");
+            assert_eq!(current_document(carrier), decided, "after a read");
         }
     }
 }
 
-/// Guards against an acknowledgement of what is not in force here.
+/// Guards against acknowledging a proposal before this daemon has the newer
+/// configuration that superseded it.
 #[tokio::test]
 async fn what_was_overtaken_is_acknowledged_once_the_newer_one_is_in_force() {
     let leader = leader("decided-newer");
     let (first, late) = (follower_of(&leader, "a"), follower_of(&leader, "b"));
-    bring(&first, replace(9, "newest")).await;
-    bring(&late, replace(7, "overtaken")).await;
-    assert_eq!(in_force(&late), (9, "newest".into()));
+    propose_until_acknowledged(&first, replace(9, "newest")).await;
+    propose_until_acknowledged(&late, replace(7, "overtaken")).await;
+    assert_eq!(current_document(&late), (9, "newest".into()));
 }
 
-/// Guards against a document that was not decided and stays in force, whoever meets it.
+/// Guards against keeping a document that was never committed: whichever daemon
+/// detects the conflict, both must return to the committed document.
 #[tokio::test]
 async fn daemons_that_hold_two_documents_under_one_version_come_back_to_the_decided_one() {
     let leader = leader("decided-twins");
-    let (right, wrong) = (follower_of(&leader, "a"), follower_of(&leader, "b"));
-    bring(&right, replace(5, "decided")).await;
-    wrong.take_state(&holding(5, "other bytes"), Source::Push);
-    let told = |node: &Node| {
+    let (correct, wrong) = (follower_of(&leader, "a"), follower_of(&leader, "b"));
+    propose_until_acknowledged(&correct, replace(5, "decided")).await;
+    wrong.take_state(&state_with(5, "other bytes"), Source::Push);
+    let advertised = |node: &Node| {
         let view = node.view();
         (view.state.config_version(), view.config_digest)
     };
-    for (node, other) in [(&right, &wrong), (&wrong, &right)] {
-        let (version, digest) = told(other);
+    for (node, other) in [(&correct, &wrong), (&wrong, &correct)] {
+        let (version, digest) = advertised(other);
         assert!(node.view().has_conflicting_document(version, digest));
-        settle(node).await;
+        restore_decided(node).await;
     }
-    assert_eq!(in_force(&right), (5, "decided".into()));
-    assert_eq!(in_force(&wrong), (5, "decided".into()));
-    assert_eq!(told(&right), told(&wrong));
-    assert!(!right.view().has_conflicting_document(ConfigVersion(5), 0));
+    assert_eq!(current_document(&correct), (5, "decided".into()));
+    assert_eq!(current_document(&wrong), (5, "decided".into()));
+    assert_eq!(advertised(&correct), advertised(&wrong));
+    assert!(!correct.view().has_conflicting_document(ConfigVersion(5), 0));
 }
--- a/crates/moleroad_gateway/tests/entries.rs
+++ b/crates/moleroad_gateway/tests/entries.rs
@@ -1,5 +1,5 @@
-//! What an entry does with requests while it waits for news, and where none of
-//! its targets may get them.
+//! How an entry handles requests while it waits for updates from other daemons,
+//! and when no target is eligible for them.
 
 mod support;
 
@@ -20,23 +20,24 @@
     request, restarted_entry,
 };
 
-/// Longer than a process may go without a look at the clock.
-const FREEZE: Duration = Duration::from_millis(1_100);
+/// Longer than the time between two clock observations above which a process
+/// counts as suspended.
+const SUSPENSION: Duration = Duration::from_millis(1_100);
 
-/// Longest wait for what must happen.
-const LONGEST: Duration = Duration::from_secs(20);
+/// Time limit for an expected event.
+const MAX_WAIT: Duration = Duration::from_secs(20);
 
-async fn until(what: &str, mut has_come: impl FnMut() -> bool) {
+async fn wait_until(event: &str, mut has_happened: impl FnMut() -> bool) {
     let wait = async {
-        while !has_come() {
+        while !has_happened() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    let came = tokio::time::timeout(LONGEST, wait).await;
-    came.unwrap_or_else(|_| panic!("{what}"));
+    let result = tokio::time::timeout(MAX_WAIT, wait).await;
+    result.unwrap_or_else(|_| panic!("timed out waiting for {event}"));
 }
 
-async fn let_others_run() {
+async fn yield_to_other_tasks() {
     for _ in 0..10 {
         tokio::task::yield_now().await;
     }
@@ -46,22 +47,22 @@
 async fn a_caller_that_leaves_while_its_granted_request_waits_for_news_gives_the_place_back() {
     let node = entry();
     let request = ask(&node, None);
-    let first = acquire(&node, &request).await.expect("a free place");
+    let first = acquire(&node, &request).await.expect("a free slot");
     assert_eq!(in_flight(&node, "i-a"), 1);
     let waiting = tokio::spawn({
         let node = node.clone();
         async move { acquire(&node, &request).await.map(drop) }
     });
-    let_others_run().await;
+    yield_to_other_tasks().await;
     assert_eq!(node.view().services["plain"].waiting(), 1);
     drop(node.standstill());
-    // The place is granted to the one that waits, and the process stands still
-    // before that one runs.
+    // The slot is granted to the waiting request, and the process is suspended
+    // before that request's task runs.
     drop(first);
     assert_eq!(in_flight(&node, "i-a"), 1);
-    std::thread::sleep(FREEZE);
-    let_others_run().await;
-    assert!(!waiting.is_finished(), "it waits for news");
+    std::thread::sleep(SUSPENSION);
+    yield_to_other_tasks().await;
+    assert!(!waiting.is_finished(), "it waits for updates");
     waiting.abort();
     assert!(waiting.await.unwrap_err().is_cancelled());
     assert_eq!(in_flight(&node, "i-a"), 0);
@@ -70,20 +71,20 @@
 #[tokio::test]
 async fn an_entry_with_old_state_begins_by_waiting_for_news_for_a_bounded_time() {
     let node = restarted_entry("begins").await;
-    let lacks_news = |node: &Node| node.standstill().waits_for_news(node.began_at);
-    assert!(lacks_news(&node));
+    let lacks_updates = |node: &Node| node.standstill().waits_for_news(node.began_at);
+    assert!(lacks_updates(&node));
     assert!(!node.standstill().may_read_backlog(node.began_at));
-    // Nobody answers.
+    // No daemon answers.
     node.catch_up_after_suspension().await;
     assert!(node.clock.now().since(node.began_at) >= 1_000);
 
     let node = restarted_entry("begins-and-hears").await;
     node.standstill().heard(node.clock.now());
-    assert!(!lacks_news(&node));
+    assert!(!lacks_updates(&node));
 
-    // Those that keep nothing have nothing old to go by.
-    assert!(!lacks_news(&entry()));
-    assert!(!lacks_news(&entry_with_disk(&folder("begins-first"))));
+    // Entries without stored state have nothing that could be outdated.
+    assert!(!lacks_updates(&entry()));
+    assert!(!lacks_updates(&entry_with_disk(&folder("begins-first"))));
 }
 
 #[tokio::test]
@@ -92,30 +93,30 @@
     let other = entry_with_configuration();
     evacuate(&other, "hall-a");
     node.replace_seeds(vec![other.settings.peer_address()]);
-    // Another fetch is under way, so that an answer starts none.
+    // Another fetch is in flight, so the answer does not start one.
     let fetching = node.begin_pull().expect("nothing is fetched yet");
     tokio::spawn(greet(node.clone()));
     let has_answer = || node.view().is_evacuated("hall-a");
-    until("an answer", has_answer).await;
-    let_others_run().await;
-    let lacks_news = || node.standstill().waits_for_news(node.began_at);
-    assert!(lacks_news());
+    wait_until("an answer", has_answer).await;
+    yield_to_other_tasks().await;
+    let lacks_updates = || node.standstill().waits_for_news(node.began_at);
+    assert!(lacks_updates());
     drop(fetching);
-    until("news", || !lacks_news()).await;
+    wait_until("updates", || !lacks_updates()).await;
     assert!(node.view().state.config_version() == ConfigVersion(1));
 }
 
 #[tokio::test]
 async fn a_request_that_is_barred_before_it_goes_out_counts_as_one() {
     let node = entry();
-    // Connections come up, and nobody answers.
+    // Connections are accepted, but requests are not answered.
     let listeners = [(); 2].map(|()| std::net::TcpListener::bind("127.0.0.1:0").unwrap());
     for (listener, (id, hall)) in listeners.iter().zip([("i-a", "hall-a"), ("i-b", "hall-b")]) {
         add_target(&node, id, hall, listener.local_addr().unwrap());
     }
     let mut attempts = Attempts::new(node.clone(), request(&node, 1_500));
     let orders = async {
-        // The place is taken, and the connection is not up yet.
+        // The slot is taken, and the connection is not established yet.
         let hall = match in_flight(&node, "i-a") {
             0 => "hall-b",
             _ => "hall-a",
@@ -135,13 +136,13 @@
     let mut sends = Sends::default();
     assert!(sends.is_first() && !sends.needs_repeat());
     assert!(sends.claim_in_time_count() && sends.claim_first_count());
-    // The place was given back before anything went out.
+    // The slot was released before anything was sent.
     assert!(!sends.claim_in_time_count() && !sends.claim_first_count());
     assert!(sends.is_first() && !sends.needs_repeat());
     sends.reached_target();
     assert!(sends.made() == 1 && sends.needs_repeat());
     sends.took_repeat();
-    assert!(!sends.needs_repeat(), "nothing was sent by it yet");
+    assert!(!sends.needs_repeat(), "the repeat has not been sent yet");
     assert!(!sends.claim_in_time_count() && !sends.claim_first_count());
     sends.reached_target();
     assert!(sends.made() == 2 && sends.needs_repeat());
@@ -152,7 +153,7 @@
     let node = entry();
     evacuate(&node, "hall-a");
     let refused = acquire(&node, &ask(&node, None)).await.err();
-    let refused = refused.expect("no target may get it");
+    let refused = refused.expect("no eligible target");
     assert_eq!(refused.cause, NoPlaceCause::Evacuated);
     let mut attempts = Attempts::new(node.clone(), request(&node, 1_500));
     let reason = attempts.next_run(None).await.err().expect("no target");
@@ -160,7 +161,7 @@
     let answer = attempts.give_up(reason);
     assert_eq!(answer.status(), StatusCode::SERVICE_UNAVAILABLE);
     let AnswerBody::Whole(Some(body)) = answer.into_body() else {
-        panic!("an answer of our own is whole");
+        panic!("an answer of the entry itself is complete");
     };
     assert!(String::from_utf8_lossy(&body).contains("MR-6215"));
     assert_eq!(node.view().services["plain"].waiting(), 0);
@@ -171,14 +172,15 @@
     let node = entry();
     let mut restricted = ask(&node, Some("restricted"));
     restricted.tried = vec![TargetId::new("i-a")];
-    // No connection came up: nobody turned it away.
+    // No connection was established, so no target rejected the request.
     let refused = acquire(&node, &restricted).await.err().expect("no target");
     assert!(matches!(refused.cause, NoPlaceCause::EmptyRegions(_)));
     restricted.was_sent = true;
     let refused = acquire(&node, &restricted).await.err().expect("no target");
     assert_eq!(refused.cause, NoPlaceCause::TurnedAway);
     assert_eq!(refused.retry_after_ms, 150);
-    // An evacuated target beside it is another matter.
+    // With an additional evacuated target, the cause is the empty regions
+    // again.
     let address = SocketAddr::from(([127, 0, 0, 2], 2));
     add_target(&node, "i-b", "hall-b", address);
     evacuate(&node, "hall-b");
--- a/crates/moleroad_gateway/tests/fan_out.rs
+++ b/crates/moleroad_gateway/tests/fan_out.rs
@@ -1,5 +1,5 @@
-//! That a target is gone is known to every entry when it is acknowledged, also
-//! where entries pass it on and some of them do not answer.
+//! The removal of a target must be known to every entry before it is
+//! acknowledged, also when entries forward it and some of them do not answer.
 
 mod support;
 
@@ -11,7 +11,8 @@
 use std::sync::Arc;
 use support::{add_target, entry, entry_with_configuration};
 
-/// Entries that answer; more than one of them tells by itself.
+/// Number of entries: more than one entry notifies directly, so that some are
+/// notified by others.
 const ENTRIES: usize = 60;
 
 fn entry_record(number: usize, peer: SocketAddr) -> DaemonRecord {
@@ -26,8 +27,8 @@
     target.is_some_and(|heard| heard.record.life == TargetLifecycle::Gone)
 }
 
-/// An entry and others that it knows, all of which know one target; `silent` of
-/// those that it knows do not answer.
+/// Creates an entry and others that it knows, all of which know one target.
+/// Those numbered in `silent` do not answer.
 fn entries(silent: &[usize]) -> (Arc<Node>, Vec<Arc<Node>>) {
     let caller = entry();
     let mut others = Vec::new();
@@ -62,7 +63,7 @@
 
 #[tokio::test]
 async fn entries_behind_one_that_does_not_answer_are_told_all_the_same() {
-    // Among them the first of every branch.
+    // Includes the first entry of every branch.
     let silent: Vec<usize> = (0..ENTRIES).filter(|number| number % 7 < 3).collect();
     let (caller, others) = entries(&silent);
     target_updates::gone(&caller, "i-a").await;
--- a/crates/moleroad_gateway/tests/parts.rs
+++ b/crates/moleroad_gateway/tests/parts.rs
@@ -1,5 +1,5 @@
-//! Parts of the gateway that need no process: events, the control group's
-//! state, versions and settings.
+//! Unit tests of the gateway without a running process: event streams, the
+//! replicated control state, named versions, settings and result codes.
 
 use bytes::Bytes;
 use moleroad_config::prelude::ConfigVersion;
@@ -32,7 +32,7 @@
             );
             out.extend_from_slice(&events);
         }
-        assert_eq!(out, text.as_bytes(), "in steps of {step}");
+        assert_eq!(out, text.as_bytes(), "in chunks of {step} bytes");
         assert_eq!(splitter.last_id().map(|id| &id[..]), Some(&b"3"[..]));
         assert!(!splitter.has_partial_event());
     }
@@ -47,7 +47,7 @@
     );
     assert!(splitter.has_partial_event());
     splitter.discard_partial_event();
-    // The other target begins with an event that was brought already.
+    // The other target starts with an event that was already delivered.
     let resumed = splitter.push(b"id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
     assert_eq!(&resumed[..], b"id: 2\ndata: b\n\n");
 }
@@ -102,13 +102,13 @@
     assert!(error.contains("MR-6101"), "{error}");
     let sound = rmp_serde::to_vec(&ConfigDocument::new(ConfigVersion(3), b"some text")).unwrap();
     for at in 0..sound.len() {
-        let mut spoilt = sound.clone();
-        spoilt[at] ^= 1;
-        let read = rmp_serde::from_slice::<ConfigDocument>(&spoilt);
+        let mut corrupt = sound.clone();
+        corrupt[at] ^= 1;
+        let read = rmp_serde::from_slice::<ConfigDocument>(&corrupt);
         let same = read.is_ok_and(|read| {
             read.version == ConfigVersion(3) && read.bytes().is_ok_and(|b| b != b"some text")
         });
-        assert!(!same, "a change of byte {at} passed for other text");
+        assert!(!same, "a change of byte {at} was not detected");
     }
 }
 
@@ -148,7 +148,7 @@
     let mut named = NamedVersions::default();
     assert!(named.learn(2, Millis(1_000)));
     assert!(named.learn(3, Millis(4_000)));
-    // A daemon that heard of it earlier is believed.
+    // An earlier time reported by another daemon is adopted.
     assert!(!named.learn(2, Millis(900)));
     assert_eq!(named.newest(), Some(3));
     assert_eq!(named.due(Millis(8_000), 8_000), None);
@@ -161,8 +161,8 @@
 
 #[test]
 fn the_settings_that_are_deployed_can_be_read() {
-    // The gaps of the template as the platform fills them; sections stand where
-    // the deployment has the bound.
+    // Fills the placeholders of a template as the platform does. Sections are
+    // kept, as in a deployment that sets the bound.
     let fill = |template: &str| {
         let mut text = String::new();
         for line in template.lines() {
@@ -172,8 +172,8 @@
             }
             let value = match line.split_once("{{") {
                 None => line.to_string(),
-                Some((before, gap)) => {
-                    let name = gap.trim_end_matches("|json}}");
+                Some((before, placeholder)) => {
+                    let name = placeholder.trim_end_matches("|json}}");
                     let value = match name {
                         "Ip" => "\"10.0.0.1\"",
                         "Zones" => r#"{"hall-a":"region-a"}"#,
@@ -228,7 +228,7 @@
         let error = Settings::parse(&format!("{sound}bounds:\n  {wrong}\n")).unwrap_err();
         assert!(error.to_string().starts_with("MR-6003"), "{error}");
     }
-    // Each field that may be missing stands in a part of its own.
+    // Each optional field is in a section of its own.
     for template in [
         include_str!("../../../deploy/entry.yaml"),
         include_str!("../../../deploy/agent.yaml"),
@@ -298,7 +298,7 @@
     }
 }
 
-/// The rows of the table of results, by number.
+/// Returns the rows of the table of result codes, by code.
 fn result_rows() -> std::collections::BTreeMap<&'static str, &'static str> {
     let table = include_str!("../../../docs/errors/gateway.md");
     let rows = table.lines().filter(|line| line.starts_with("| MR-"));
@@ -330,7 +330,8 @@
             .get(number)
             .unwrap_or_else(|| panic!("no row for {number}"));
         assert!(row.contains(&format!("| {} |", status.as_u16())), "{row}");
-        // A promise in the table is one in the answer, and the other way round.
+        // The table and the answer must agree on whether the request was not
+        // run.
         assert_eq!(
             row.contains("| not run |"),
             text.ends_with("not run"),
@@ -344,7 +345,7 @@
     let rows = result_rows();
     let sources = concat!(
         include_str!("../src/settings.rs"),
-        include_str!("../src/system_calls.rs"),
+        include_str!("../src/management_api.rs"),
         include_str!("../src/hall_orders.rs"),
         include_str!("../src/front/answer.rs"),
         include_str!("../../moleroad_config/src/check.rs"),
@@ -383,7 +384,7 @@
             count += 1;
         }
     }
-    assert!(count > 20, "the settings were found");
+    assert!(count > 20, "too few settings were found in the source");
 }
 
 #[test]
@@ -394,18 +395,21 @@
         offers.add(2, 7, agent(number));
         offers.add(2, 7, agent(number));
     }
-    // The first ones stay: they have had the piece for longest.
-    assert_eq!(offers.of(2, 7), [agent(0), agent(1), agent(2)]);
-    assert!(offers.of(2, 8).is_empty());
+    // The first offers are kept: their agents have had the piece for longest.
+    assert_eq!(offers.offered_by(2, 7), [agent(0), agent(1), agent(2)]);
+    assert!(offers.offered_by(2, 8).is_empty());
     offers.add(2, 8, agent(1));
     offers.forget(agent(1));
-    assert_eq!(offers.of(2, 7), [agent(0), agent(2)]);
-    assert!(offers.of(2, 8).is_empty());
+    assert_eq!(offers.offered_by(2, 7), [agent(0), agent(2)]);
+    assert!(offers.offered_by(2, 8).is_empty());
     for version in 3..40 {
         offers.add(version, 0, agent(9));
     }
-    assert!(offers.of(2, 7).is_empty(), "versions are bounded");
-    assert_eq!(offers.of(39, 0), [agent(9)]);
+    assert!(
+        offers.offered_by(2, 7).is_empty(),
+        "the number of versions is bounded"
+    );
+    assert_eq!(offers.offered_by(39, 0), [agent(9)]);
 }
 
 #[test]
@@ -413,6 +417,10 @@
     let kept = |seconds| idle_limit(Some(Duration::from_secs(seconds)));
     assert_eq!(kept(10), Duration::from_millis(8_500));
     assert_eq!(kept(3), Duration::from_millis(1_500));
-    assert_eq!(kept(1), Duration::ZERO, "it may close at any moment");
+    assert_eq!(
+        kept(1),
+        Duration::ZERO,
+        "the target may close it at any moment"
+    );
     assert_eq!(idle_limit(None), Duration::from_secs(4));
 }
