--- a/crates/moleroad_gateway/src/experiments.rs
+++ b/crates/moleroad_gateway/src/experiments.rs
@@ -1,48 +1,49 @@
-//! Mechanisms that can be switched off to measure what they are worth.
+//! Switches that disable single mechanisms, to measure their benefit.
 //!
-//! `experiments: { off: [...] }` in the settings; no shipped template has it.
+//! Set by `experiments: { off: [...] }` in the settings; no shipped template sets it.
 
 use serde::Deserialize;
 
-/// A mechanism that can be switched off.
+/// A mechanism that can be disabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Mechanism {
-    /// Agents are asked what their engines have in hand before a send.
+    /// Entries query agents for the load of their engines before a send.
     AskedAgents,
-    /// The last places of a target are shared out among entries.
+    /// Entries divide the last free places of a target among them.
     SharedPlaces,
-    /// A request waits for a place for a part of its wanted latency.
+    /// A request waits for a place for a share of its target latency.
     Waiting,
-    /// Requests are held to be served late where a place can be expected.
+    /// Requests that can no longer meet their target latency wait to be served late if
+    /// a place is expected.
     HeldOverdue,
-    /// Targets that fail are avoided for a while.
+    /// Failing targets are avoided for some time.
     Avoidance,
-    /// Engines that are slower than published count as slower.
+    /// The measured speed of an engine counts if it is below the published speed.
     Slowness,
-    /// Engines change their weights in waves.
+    /// Engines switch to new weights in waves.
     Waves,
-    /// An older version stands in for a newest one that does not come.
+    /// An older version is served if the newest one cannot be fetched.
     Fallback,
-    /// Requests go to cold targets on grants of the agents beside them.
+    /// Requests to cold targets require grants of the targets' agents.
     ColdGrants,
-    /// The bound on cold targets whose agents are not asked is divided among
+    /// The rate limit of cold targets whose agents are not queried is divided among
     /// entries.
     ColdDivision,
-    /// Pieces take less of the link while the engine beside the agent serves.
+    /// Piece transfers use less bandwidth while the agent's engine serves requests.
     YieldingPieces,
 }
 
-/// The section of the settings.
+/// The `experiments` section of the settings.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Experiments {
-    /// Mechanisms that are switched off.
+    /// Disabled mechanisms.
     pub off: Vec<Mechanism>,
 }
 
 impl Experiments {
-    /// Whether the mechanism works.
+    /// Returns whether the mechanism is enabled.
     pub fn has(&self, mechanism: Mechanism) -> bool {
         !self.off.contains(&mechanism)
     }
--- a/crates/moleroad_gateway/src/front/answer.rs
+++ b/crates/moleroad_gateway/src/front/answer.rs
@@ -1,4 +1,4 @@
-//! Answers of our own, and the body of every answer.
+//! Answers that the entry generates itself, and the body type of all answers.
 
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
@@ -9,11 +9,12 @@
 use std::task::{Context, Poll};
 use tokio::sync::mpsc;
 
-/// The body of an answer: whole, or in parts as they come.
+/// The body of an answer: complete, or forwarded in parts.
 pub enum AnswerBody {
-    /// All bytes at once.
+    /// The complete body; `None` once it was taken, or if it is empty.
     Whole(Option<Bytes>),
-    /// Parts; an error ends the answer so that it does not look complete.
+    /// Parts as they arrive; an error aborts the answer so that the caller does not
+    /// take it as complete.
     Parts(mpsc::Receiver<io::Result<Bytes>>),
 }
 
@@ -47,51 +48,52 @@
     }
 }
 
-/// An answer to a caller.
+/// An HTTP response to a caller.
 pub type Answer = Response<AnswerBody>;
 
-/// Why a request is answered by the entry itself.
+/// Reason why the entry answers a request itself, in place of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EntryError {
     /// No configuration is known yet.
     NoConfiguration,
-    /// No route fits.
+    /// No route matches the request.
     NoRoute,
     /// The key is missing or unknown.
     UnknownKey,
     /// The request cannot be read.
     BadRequest,
-    /// The body did not come in time.
+    /// The body did not arrive in time.
     BodyTimeout,
     /// The body is too large.
     TooLarge,
-    /// No target can take it now; it did not run.
+    /// No target has room; the request did not run.
     NoPlace,
-    /// All targets stand in evacuated data halls; it did not run.
+    /// All targets are in evacuated data halls; the request did not run.
     AllEvacuated,
-    /// It was not sent because the process stops.
+    /// The process is shutting down; the request did not run.
     Leaving,
-    /// The targets turned it away; it did not run.
+    /// The targets rejected the request; it did not run.
     TurnedAway,
-    /// Its time is over before it was sent; it did not run.
+    /// The deadline passed before the request was sent; it did not run.
     DeadlinePassedNotRun,
-    /// No target of an allowed region may get it and is reachable; it did not
+    /// No allowed region has an eligible and reachable target; the request did not
     /// run.
     NoAllowedTarget,
-    /// Targets ended under it, and it is not sent any more; it did not run.
+    /// The request is quarantined because several targets ended while running it;
+    /// this time it did not run.
     Quarantined,
-    /// Every target that may get it asked for rest; it did not run.
+    /// Every eligible target asked for backoff; the request did not run.
     AllBackingOff,
-    /// Its route and account allow no common region; it did not run.
+    /// The route and the account allow no common region; the request did not run.
     NoCommonRegion,
-    /// It was sent and failed; it may have run.
+    /// The request was sent and failed; it may have run.
     Broken,
-    /// Its time is over; it may have run.
+    /// The deadline passed; the request may have run.
     TimedOut,
 }
 
 impl EntryError {
-    /// What it counts as in metrics.
+    /// Returns the value of the `outcome` label in metrics.
     pub fn outcome(self) -> &'static str {
         use EntryError::*;
         match self {
@@ -102,7 +104,7 @@
         }
     }
 
-    /// Status, number and text.
+    /// Returns the HTTP status, the result code and its text.
     pub fn parts(self) -> (StatusCode, &'static str, &'static str) {
         use EntryError::*;
         match self {
@@ -190,13 +192,13 @@
         }
     }
 
-    /// The answer; `retry_after_ms` tells when to come back.
+    /// Builds the answer; `retry_after_ms` sets the `Retry-After` header.
     pub fn response(self, retry_after_ms: Option<u64>) -> Answer {
         let (status, number, text) = self.parts();
         let body = Bytes::from(format!("{number} {text}\n"));
         let mut response = Response::new(AnswerBody::Whole(Some(body)));
         *response.status_mut() = status;
-        // For the log.
+        // Read when the answer is logged.
         response.extensions_mut().insert(self);
         let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
@@ -210,7 +212,7 @@
     }
 }
 
-/// Asks the caller to use another connection for its next request.
+/// Asks the caller to close the connection after this answer.
 pub fn close_after(answer: &mut Answer) {
     answer
         .headers_mut()
--- a/crates/moleroad_gateway/src/front/attempt.rs
+++ b/crates/moleroad_gateway/src/front/attempt.rs
@@ -1,13 +1,13 @@
-//! Sending a request until it has an answer, within its time, its number of
-//! targets and the budget of repeats.
+//! Sends a request until it has an answer, within its deadline, its maximum
+//! number of attempts and the retry budget.
 
 use crate::acquire::{LoadEstimate, Place};
-use crate::front::breaks::Progress;
-use crate::front::exchange::{self, Reply, SendError, Verdict};
+use crate::front::broken_sends::Progress;
+use crate::front::exchange::{self, Reply, ReplyClass, SendError};
 use crate::front::give_up::GiveUp;
-use crate::front::patience;
 use crate::front::request::Accepted;
 use crate::front::sends::Sends;
+use crate::front::silence_timeouts;
 use crate::node::Node;
 use bytes::Bytes;
 use moleroad_config::prelude::Repeatability;
@@ -17,51 +17,53 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time between looks for another target while one is silent.
-pub const LOOK_FOR_OTHERS: Duration = Duration::from_millis(100);
-/// Most connections that are tried for one request without one coming up.
-const MOST_UNREACHABLE: usize = 4;
+/// Interval between checks whether a silent target's request can move to another
+/// target.
+pub const RETARGET_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum number of times that a request gives a place back because no connection
+/// could be opened or a grant expired.
+const MAX_UNREACHABLE: usize = 4;
 
-/// What was done so far for one request.
+/// State of the attempts to answer one request.
 pub struct Attempts {
     pub(super) node: Arc<Node>,
-    /// The request.
+    /// The request being answered.
     pub request: Arc<Accepted>,
     pub(super) tried: Vec<TargetId>,
     pub(super) sends: Sends,
-    /// Places given back because no connection came up or a grant lapsed; bounds
-    /// how often the request tries again.
+    /// Number of places given back because no connection could be opened or a
+    /// grant expired; limits how often the request tries again.
     pub(super) unreachable: usize,
     pub(super) may_have_run: bool,
     pub(super) failed_reply: Option<(Reply, Bytes)>,
-    last: Option<Sent>,
+    last: Option<LastSend>,
 }
 
 /// The last send of a request, for the log.
 #[derive(Clone, Debug)]
-pub struct Sent {
-    /// The target.
+pub struct LastSend {
+    /// Target of the send.
     pub target: TargetId,
-    /// Number of the send.
+    /// Number of the send, starting at 1.
     pub send: u32,
-    /// How long the request had waited for this place, in milliseconds.
+    /// Time from the arrival of the request to this send, in milliseconds.
     pub waited_ms: u64,
-    /// What was believed of the target.
-    pub belief: LoadEstimate,
-    /// Version of its weights; 0 for plain targets.
+    /// Estimated load of the target when it was chosen.
+    pub load_estimate: LoadEstimate,
+    /// Version of the target's weights; 0 for plain targets.
     pub weights: u64,
 }
 
-/// A target at work on the request.
-pub struct Running {
-    /// The place; it says how the send ended.
+/// A send whose target has begun to answer.
+pub struct RunningSend {
+    /// The place at the target, which records the outcome of the send.
     pub place: Place,
     /// The head of the answer.
     pub reply: Reply,
 }
 
 impl Attempts {
-    /// Nothing was sent yet.
+    /// Creates the state of a request that was not sent yet.
     pub fn new(node: Arc<Node>, request: Accepted) -> Self {
         Self {
             node,
@@ -75,17 +77,17 @@
         }
     }
 
-    /// Number of sends that reached a target.
+    /// Returns the number of sends that reached a target.
     pub fn sends(&self) -> u32 {
         self.sends.made()
     }
 
-    /// The last send, for the log.
-    pub fn last_send(&self) -> Option<Sent> {
+    /// Returns the last send, for the log.
+    pub fn last_send(&self) -> Option<LastSend> {
         self.last.clone()
     }
 
-    /// Whether it may run at more than one target.
+    /// Returns whether the request may run at more than one target.
     pub fn is_idempotent(&self) -> bool {
         let route = &self.request.route;
         if route.streaming {
@@ -95,8 +97,11 @@
         }
     }
 
-    /// Sends the request to one more target, until one begins to answer.
-    pub async fn next_run(&mut self, last_event: Option<&Bytes>) -> Result<Running, GiveUp> {
+    /// Sends the request to one target after another until one begins to answer.
+    ///
+    /// # Errors
+    /// Returns the reason why no further send is made.
+    pub async fn next_run(&mut self, last_event: Option<&Bytes>) -> Result<RunningSend, GiveUp> {
         loop {
             let next = self.next_place().await;
             if let Err(GiveUp::NoPlace(no_place)) = &next {
@@ -107,11 +112,11 @@
                 let view = self.node.view();
                 self.node.least_version(&view, &self.request.service)
             };
-            self.last = Some(Sent {
+            self.last = Some(LastSend {
                 target: place.candidate.id.clone(),
                 send: self.sends() + 1,
                 waited_ms: self.node.clock.now().since(self.request.arrived),
-                belief: place.belief,
+                load_estimate: place.belief,
                 weights: place.candidate.version.unwrap_or(0),
             });
             self.tried.push(place.candidate.id.clone());
@@ -126,33 +131,33 @@
                     place.ended(Outcome::Unreachable);
                     self.node.pool.forget(place.candidate.address);
                     self.unreachable += 1;
-                    if self.unreachable >= MOST_UNREACHABLE {
-                        return Err(GiveUp::NotAgain);
+                    if self.unreachable >= MAX_UNREACHABLE {
+                        return Err(GiveUp::NoRetry);
                     }
                 }
-                Err(SendError::Lapsed) => {
+                Err(SendError::Expired) => {
                     place.ended(Outcome::Abandoned);
                     self.tried.pop();
                     self.unreachable += 1;
-                    if self.unreachable >= MOST_UNREACHABLE {
-                        return Err(GiveUp::NotAgain);
+                    if self.unreachable >= MAX_UNREACHABLE {
+                        return Err(GiveUp::NoRetry);
                     }
                 }
-                Err(SendError::Barred) => {
+                Err(SendError::Ineligible) => {
                     self.node.metrics.count("place_barred");
-                    // It did not have the request, and may have rested when it is
-                    // looked at again.
+                    // The target did not receive the request, and its backoff may
+                    // be over when it is considered again.
                     self.tried.pop();
                 }
                 Err(error) => {
                     self.sends.reached_target();
                     self.may_have_run = true;
                     if error == SendError::Broken {
-                        self.note_break(&place, Progress::NoHead);
+                        self.record_break(&place, Progress::NoHead);
                     }
                     place.ended(Outcome::Broken);
                     if !self.is_idempotent() {
-                        return Err(GiveUp::NotAgain);
+                        return Err(GiveUp::NoRetry);
                     }
                 }
                 Ok(reply) => {
@@ -160,7 +165,7 @@
                     match self.take_head(place, reply).await {
                         Some(running) => return Ok(running),
                         None if self.may_have_run && !self.is_idempotent() => {
-                            return Err(GiveUp::NotAgain);
+                            return Err(GiveUp::NoRetry);
                         }
                         None => {}
                     }
@@ -169,26 +174,27 @@
         }
     }
 
-    /// Takes the head of an answer; `None` when another target may be asked.
-    async fn take_head(&mut self, mut place: Place, mut reply: Reply) -> Option<Running> {
-        match reply.verdict {
-            Verdict::Succeeded | Verdict::Final => Some(Running { place, reply }),
-            Verdict::TurnedAway => {
+    /// Handles the head of an answer; returns `None` if another target may be
+    /// tried.
+    async fn take_head(&mut self, mut place: Place, mut reply: Reply) -> Option<RunningSend> {
+        match reply.class {
+            ReplyClass::Succeeded | ReplyClass::Final => Some(RunningSend { place, reply }),
+            ReplyClass::Rejected => {
                 place.ended(Outcome::TurnedAway);
-                let whole = reply.whole_body(&self.node, self.request.until).await;
+                let whole = reply.read_whole_body(&self.node, self.request.until).await;
                 if whole.is_ok() {
                     reply.keep_connection(&self.node);
                 }
                 None
             }
-            Verdict::Failed => {
+            ReplyClass::Failed => {
                 self.may_have_run = true;
                 place.ended(Outcome::Failed);
-                match reply.whole_body(&self.node, self.request.until).await {
+                match reply.read_whole_body(&self.node, self.request.until).await {
                     Ok(body) => self.failed_reply = Some((reply, body)),
                     Err(error) => {
                         if error == SendError::Broken {
-                            self.note_break(&place, Progress::PartOfBody);
+                            self.record_break(&place, Progress::PartOfBody);
                         }
                         place.ended(Outcome::Broken);
                     }
@@ -198,8 +204,9 @@
         }
     }
 
-    /// Whether another target could take the request now, after `sends` sends.
-    pub fn can_move(&self, sends: u32) -> bool {
+    /// Returns whether another target could take the request now, after `sends`
+    /// sends.
+    pub fn can_retarget(&self, sends: u32) -> bool {
         if !self.is_idempotent() || sends >= self.request.route.max_attempts {
             return false;
         }
@@ -226,8 +233,9 @@
             })
     }
 
-    /// Sends and waits for the head of the answer; a stream whose target is
-    /// silent for long is given up as soon as another target could take it.
+    /// Sends the request and waits for the head of the answer. If the target of a
+    /// stream stays silent past its timeout, the send is given up as soon as
+    /// another target could take the request.
     async fn send(
         &self,
         place: &Place,
@@ -240,12 +248,13 @@
         if !request.route.streaming {
             return sending.await;
         }
-        let patience = Duration::from_millis(patience::first_event_ms(&request.route));
+        let timeout =
+            Duration::from_millis(silence_timeouts::first_event_timeout_ms(&request.route));
         let began = Instant::now();
         let silence = async {
             loop {
-                tokio::time::sleep(LOOK_FOR_OTHERS).await;
-                let is_silent = began.elapsed() >= patience && self.can_move(self.sends() + 1);
+                tokio::time::sleep(RETARGET_CHECK_INTERVAL).await;
+                let is_silent = began.elapsed() >= timeout && self.can_retarget(self.sends() + 1);
                 if is_silent || self.is_start_forbidden(place) {
                     return;
                 }
@@ -258,9 +267,10 @@
         }
     }
 
-    /// Whether a request that has not begun may not begin at the target any
-    /// more: its weights are too old by now, or other targets ended under the
-    /// request. Most targets drop it from their queue when it is given up.
+    /// Returns whether a request that the target has not begun must not begin
+    /// there any more, because the target's weights are too old by now or the
+    /// request was quarantined after other targets ended while running it. Most
+    /// targets drop a queued request when its connection closes.
     pub fn is_start_forbidden(&self, place: &Place) -> bool {
         let view = self.node.view();
         let least = self.node.least_version(&view, &self.request.service);
@@ -270,8 +280,8 @@
         is_outdated || (left_ms.is_some() && !self.request.is_trial)
     }
 
-    /// Notes that a target that began to answer broke off.
-    pub fn broke_off(&mut self) {
+    /// Records that an answer broke off after the target had begun it.
+    pub fn record_broken_answer(&mut self) {
         self.may_have_run = true;
     }
 }
--- a/crates/moleroad_gateway/src/front/attempt_log.rs
+++ b/crates/moleroad_gateway/src/front/attempt_log.rs
@@ -1,14 +1,14 @@
-//! Lines of the log about the sends of a request.
+//! Log lines about the sends of a request.
 
 use crate::acquire::Place;
 use crate::front::attempt::Attempts;
-use crate::front::exchange::{Reply, SendError, Verdict};
+use crate::front::exchange::{Reply, ReplyClass, SendError};
 use crate::no_place::{NoPlace, NoPlaceCause};
 use moleroad_dispatch::prelude::ExclusionCounts;
 use moleroad_types::prelude::Millis;
 
 impl Attempts {
-    /// Says why there is no place, and what was known of the targets.
+    /// Logs why there is no place, and the known state of the targets.
     pub(super) fn log_no_place(&self, no_place: &NoPlace) {
         match no_place.cause {
             NoPlaceCause::Busy
@@ -25,7 +25,7 @@
         }
     }
 
-    fn log_no_allowed_target(&self, no_place: &NoPlace, kept_out: ExclusionCounts) {
+    fn log_no_allowed_target(&self, no_place: &NoPlace, exclusions: ExclusionCounts) {
         self.node.metrics.count("no_allowed_target");
         let residency = self.node.view().residency(&self.request.residency);
         log::info!(
@@ -36,10 +36,10 @@
             configuration = residency.version().0,
             accepted_under = self.request.config_version,
             candidates = no_place.candidates as u64,
-            in_other_regions = kept_out.region as u64,
-            evacuated = kept_out.evacuated as u64,
-            tried = kept_out.tried as u64,
-            unreachable = kept_out.open as u64,
+            in_other_regions = exclusions.region as u64,
+            evacuated = exclusions.evacuated as u64,
+            tried = exclusions.tried as u64,
+            unreachable = exclusions.open as u64,
             sends = self.sends(),
             retry_after_ms = no_place.retry_after_ms;
             ""
@@ -73,7 +73,7 @@
         );
     }
 
-    /// Counts a request that is held to be served late, and says why.
+    /// Counts and logs a request that waits to be served after its target latency.
     pub(super) fn log_held(&self, now: Millis, until: Millis, expected_ms: Option<u64>) {
         self.node.metrics.count("held_overdue");
         log::info!(
@@ -86,21 +86,21 @@
         );
     }
 
-    /// Counts a send, and says how it ended unless it was answered.
+    /// Counts a send by outcome, and logs it unless it was answered.
     pub(super) fn log_send(&self, place: &Place, sent: &Result<Reply, SendError>) {
         let candidate = &place.candidate;
         let outcome = match sent {
-            Ok(reply) => match reply.verdict {
-                Verdict::Succeeded => "answered",
-                Verdict::TurnedAway => "turned_away",
-                Verdict::Failed => "failed",
-                Verdict::Final => "final",
+            Ok(reply) => match reply.class {
+                ReplyClass::Succeeded => "answered",
+                ReplyClass::Rejected => "turned_away",
+                ReplyClass::Failed => "failed",
+                ReplyClass::Final => "final",
             },
             Err(SendError::Unreachable) => "unreachable",
-            Err(SendError::Lapsed) => "lapsed",
-            Err(SendError::Barred) => "barred",
+            Err(SendError::Expired) => "lapsed",
+            Err(SendError::Ineligible) => "barred",
             Err(SendError::Broken) => "broken",
-            Err(SendError::Spoilt) => "spoilt",
+            Err(SendError::InvalidAnswer) => "spoilt",
             Err(SendError::TimedOut) => "timed_out",
         };
         self.node.metrics.sends.with_label_values(&[outcome]).inc();
@@ -108,16 +108,16 @@
             return;
         }
         let now = self.node.clock.now();
-        let belief = place.belief;
+        let estimate = place.belief;
         log::info!(
             event = "send",
             request = self.request.id.to_str().unwrap_or("-"),
             target:% = candidate.id,
             outcome = outcome,
             send = self.sends() + 1,
-            believed_requests = belief.requests,
-            believed_unread_tokens = belief.unread_tokens,
-            report_age_ms = belief.report_age_ms.unwrap_or(0),
+            believed_requests = estimate.requests,
+            believed_unread_tokens = estimate.unread_tokens,
+            report_age_ms = estimate.report_age_ms.unwrap_or(0),
             weights = candidate.version.unwrap_or(0),
             elapsed_ms = now.since(self.request.arrived);
             ""
--- a/crates/moleroad_gateway/src/front/breaks.rs
+++ b/crates/moleroad_gateway/src/front/broken_sends.rs
@@ -1,24 +1,24 @@
-//! Sends that broke off while a target had them.
+//! Records sends whose connection broke while the target had the request.
 
 use crate::acquire::Place;
 use crate::front::attempt::Attempts;
 
-/// How far the answer had come when the connection broke.
+/// How much of the answer had arrived when the connection broke.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// Nothing had come.
+    /// Nothing.
     NoHead,
-    /// The head of a stream, and no event.
+    /// The head of a stream, but no event.
     NoEvent,
     /// Some events of a stream.
     SomeEvents,
-    /// A part of a whole answer.
+    /// Part of the body of an answer that is no stream.
     PartOfBody,
 }
 
 impl Attempts {
-    /// Notes that the target or the link broke the connection of a send.
-    pub(super) fn note_break(&self, place: &Place, progress: Progress) {
+    /// Records that the target or the link broke the connection of a send.
+    pub(super) fn record_break(&self, place: &Place, progress: Progress) {
         self.node.metrics.count("request_broke");
         log::info!(
             event = "request_broke",
--- a/crates/moleroad_gateway/src/front/connect.rs
+++ b/crates/moleroad_gateway/src/front/connect.rs
@@ -1,26 +1,27 @@
-//! Connecting to a target over a link that loses packets.
+//! Hedged connection setup for links that lose packets.
 
 use std::io;
 use std::time::Duration;
 
-/// Time after which a second connection is tried beside the first. A link that
-/// loses the first packet sends it again after a second, which is longer than
-/// callers wait; one between regions answers in some tens of milliseconds.
-const BESIDE_AFTER: Duration = Duration::from_millis(100);
+/// Delay after which a second connection is attempted in parallel. A lost first
+/// packet (SYN) is retransmitted only after 1 s, which is longer than callers
+/// wait, while a handshake between regions takes some tens of milliseconds.
+const HEDGE_DELAY: Duration = Duration::from_millis(100);
 
-/// The first of two connections that comes up. The second is begun only when
-/// the first takes long; the one that is not used is closed without a byte.
+/// Returns whichever of two connections is established first. The second is
+/// attempted only if the first takes longer than `HEDGE_DELAY`; the unused one
+/// is closed before any byte is sent.
 ///
 /// # Errors
-/// A refusal of either, since a target that refuses one refuses both; else the
-/// error of the one that fails last. An error of its own, as too few files, says
-/// nothing of the other.
-pub async fn first_up<C, F>(connect: impl Fn() -> F) -> io::Result<C>
+/// Returns a refusal of either attempt at once, since a target that refuses one
+/// also refuses the other. Any other error, such as a lack of file descriptors,
+/// may be local to one attempt, so the error of the last one to fail is returned.
+pub async fn first_connected<C, F>(connect: impl Fn() -> F) -> io::Result<C>
 where
     F: Future<Output = io::Result<C>>,
 {
     let mut first = std::pin::pin!(connect());
-    if let Ok(connected) = tokio::time::timeout(BESIDE_AFTER, first.as_mut()).await {
+    if let Ok(connected) = tokio::time::timeout(HEDGE_DELAY, first.as_mut()).await {
         return connected;
     }
     let mut second = std::pin::pin!(connect());
--- a/crates/moleroad_gateway/src/front/events.rs
+++ b/crates/moleroad_gateway/src/front/events.rs
@@ -1,23 +1,23 @@
-//! Cutting a stream of bytes into whole events.
+//! Splits a stream of bytes into complete server-sent events.
 //!
-//! The format is that of server-sent events (WHATWG HTML, section 9.2): lines
-//! with a field name, an event ends with an empty line.
+//! The format is defined in WHATWG HTML, section 9.2: an event consists of lines
+//! that begin with a field name, and ends with an empty line.
 
 use bytes::{Bytes, BytesMut};
 
-/// Largest event, in bytes; a longer one ends the stream as broken.
+/// Largest event, in bytes; a larger one is treated as a broken stream.
 pub const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Collects bytes and gives out whole events.
+/// Buffers bytes and returns complete events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    rest: BytesMut,
+    partial: BytesMut,
     scanned: usize,
     last_id: Option<Bytes>,
 }
 
 impl EventSplitter {
-    /// Begins after the event `last_id`, if there was one.
+    /// Creates a splitter that resumes after the event `last_id`, if there is one.
     pub fn after(last_id: Option<Bytes>) -> Self {
         Self {
             last_id,
@@ -25,45 +25,45 @@
         }
     }
 
-    /// Takes bytes and returns all events that are whole now. Events that are
-    /// not newer than the last one are left out.
+    /// Adds bytes and returns all events that they complete. Events with a numeric
+    /// id that is not greater than the last one are dropped.
     pub fn push(&mut self, bytes: &[u8]) -> Bytes {
-        self.rest.extend_from_slice(bytes);
+        self.partial.extend_from_slice(bytes);
         let mut whole = BytesMut::new();
         while let Some(end) = self.event_end() {
-            let event = self.rest.split_to(end);
+            let event = self.partial.split_to(end);
             self.scanned = 0;
-            if self.is_news(&event) {
+            if self.is_new(&event) {
                 whole.extend_from_slice(&event);
             }
         }
         whole.freeze()
     }
 
-    /// Identity of the last event given out.
+    /// Returns the id of the last event that was returned.
     pub fn last_id(&self) -> Option<&Bytes> {
         self.last_id.as_ref()
     }
 
-    /// Whether part of an event is left.
+    /// Returns whether an incomplete event is buffered.
     pub fn has_partial_event(&self) -> bool {
-        !self.rest.is_empty()
+        !self.partial.is_empty()
     }
 
-    /// Whether an event is longer than may be.
+    /// Returns whether the buffered event exceeds [`MAX_EVENT_BYTES`].
     pub fn is_too_long(&self) -> bool {
-        self.rest.len() > MAX_EVENT_BYTES
+        self.partial.len() > MAX_EVENT_BYTES
     }
 
-    /// Drops part of an event, as when its target is lost.
+    /// Discards an incomplete event, for example when its target is lost.
     pub fn discard_partial_event(&mut self) {
-        self.rest.clear();
+        self.partial.clear();
         self.scanned = 0;
     }
 
     fn event_end(&mut self) -> Option<usize> {
-        let bytes = &self.rest[..];
-        // Up to three bytes of an end may lie before what is new.
+        let bytes = &self.partial[..];
+        // Up to three bytes of the terminator may have been scanned before.
         let start = self.scanned.saturating_sub(3);
         for at in start..bytes.len() {
             let tail = &bytes[at..];
@@ -78,7 +78,7 @@
         None
     }
 
-    fn is_news(&mut self, event: &[u8]) -> bool {
+    fn is_new(&mut self, event: &[u8]) -> bool {
         let Some(id) = event_id(event) else {
             return true;
         };
--- a/crates/moleroad_gateway/src/front/exchange.rs
+++ b/crates/moleroad_gateway/src/front/exchange.rs
@@ -1,4 +1,4 @@
-//! One send to a target.
+//! Performs one send of a request to a target.
 
 use crate::acquire::Place;
 use crate::front::pool::Connection;
@@ -15,82 +15,83 @@
 use moleroad_types::prelude::Millis;
 use std::time::Duration;
 
-/// Largest answer that is held until it is whole, in bytes; the rest of a
-/// larger one is passed on as it comes.
+/// Base for the size limit of buffered answers, in bytes: an answer larger than
+/// 16 times this value counts as broken.
 pub const MAX_HELD_BYTES: usize = 1 << 20;
 
-/// Why a send brought no answer.
+/// Reason why a send returned no valid answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendError {
-    /// No connection came up; nothing was sent.
+    /// No connection could be opened; nothing was sent.
     Unreachable,
-    /// It could not begin in time: its grant or part lapsed, the target turned
-    /// cold since it was chosen, or news did not come after the process had stood
-    /// still; nothing was sent.
-    Lapsed,
-    /// The target may not get it any more, by what was learned since it was
-    /// chosen; nothing was sent.
-    Barred,
-    /// It was sent, and the connection broke before an answer.
+    /// The send could not begin in time; nothing was sent. Its grant or its
+    /// share of the rate limit expired, the target became cold after it was
+    /// chosen, or no update arrived after this process had been suspended.
+    Expired,
+    /// The target became ineligible for the request after it was chosen; nothing
+    /// was sent.
+    Ineligible,
+    /// The request was sent, and the connection broke before an answer.
     Broken,
-    /// The answer belongs to another request, or is not signed.
-    Spoilt,
-    /// No answer came in time.
+    /// The answer belongs to another request or is not signed.
+    InvalidAnswer,
+    /// No answer arrived in time.
     TimedOut,
 }
 
 impl SendError {
-    /// Whether nothing went out.
+    /// Returns whether nothing was sent to the target.
     pub fn is_not_sent(self) -> bool {
         matches!(
             self,
-            SendError::Unreachable | SendError::Lapsed | SendError::Barred
+            SendError::Unreachable | SendError::Expired | SendError::Ineligible
         )
     }
 }
 
-/// What the head of an answer means.
+/// Classification of a target's answer by its head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    /// The target ran it and it succeeded.
+pub enum ReplyClass {
+    /// The target ran the request, and it succeeded.
     Succeeded,
-    /// The target did not run it.
-    TurnedAway,
-    /// The target ran it and it failed.
+    /// The target did not run the request.
+    Rejected,
+    /// The request failed at the target and may have run there.
     Failed,
-    /// The target answered something else that is final.
+    /// Any other answer, forwarded to the caller without a retry.
     Final,
 }
 
-/// The head of a target's answer, and the connection that brings the body.
+/// The head of a target's answer and the connection that delivers the body.
 pub struct Reply {
-    /// Status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Headers.
+    /// Headers of the answer.
     pub headers: HeaderMap,
-    /// Body.
+    /// Body that is still to be read.
     pub body: Incoming,
-    /// What the head means.
-    pub verdict: Verdict,
-    /// The connection; dropped, it is closed.
+    /// Classification of the answer.
+    pub class: ReplyClass,
+    /// The connection; closed when dropped.
     pub connection: Connection,
 }
 
 /// Sends `request` to the target of `place` and waits for the head of the answer.
 ///
 /// # Errors
-/// [`SendError`]; only after [`SendError::Unreachable`],
-/// [`SendError::Lapsed`] and [`SendError::Barred`] nothing was sent.
+/// Returns a [`SendError`]. With [`SendError::Unreachable`],
+/// [`SendError::Expired`] and [`SendError::Ineligible`] nothing was sent; with
+/// the others the request may have run.
 pub async fn send(
     node: &Node,
     request: &Accepted,
     place: &Place,
-    least_version: Option<u64>,
+    min_version: Option<u64>,
     last_event: Option<&Bytes>,
     until: Millis,
 ) -> Result<Reply, SendError> {
     let candidate = &place.candidate;
-    let mut message = build(node, request, candidate, least_version, last_event)?;
+    let mut message = build(node, request, candidate, min_version, last_event)?;
     let limit = node.clock.instant(until);
     let mut kept = node.pool.take(candidate.address);
     loop {
@@ -108,19 +109,19 @@
                 }
             }
         };
-        // It may have stood still while it chose or connected.
-        let heard = tokio::time::timeout_at(limit, node.catch_up_after_suspension()).await;
-        if heard.is_err() {
+        // The process may have been suspended since the target was chosen.
+        let caught_up = tokio::time::timeout_at(limit, node.catch_up_after_suspension()).await;
+        if caught_up.is_err() {
             node.pool.give_back_unused(connection);
-            return Err(SendError::Lapsed);
+            return Err(SendError::Expired);
         }
-        if is_barred(node, request, candidate) {
+        if is_ineligible(node, request, candidate) {
             node.pool.give_back_unused(connection);
-            return Err(SendError::Barred);
+            return Err(SendError::Ineligible);
         }
         if !grants::holds(node, &request.service, candidate) {
             node.pool.give_back_unused(connection);
-            return Err(SendError::Lapsed);
+            return Err(SendError::Expired);
         }
         set_deadline(node, request, candidate, message.headers_mut());
         let sent_at = node.clock.now();
@@ -128,7 +129,7 @@
         match tokio::time::timeout_at(limit, sending).await {
             Err(_) => return Err(SendError::TimedOut),
             Ok(Ok(response)) => {
-                // Also where the answer is another request's: the target made it.
+                // An answer to another request also counts: the target sent it.
                 node.apply_notice(AnswerHead {
                     from: place.answerer(),
                     request: request.id.to_str().unwrap_or("-"),
@@ -136,10 +137,10 @@
                     status: response.status(),
                     headers: response.headers(),
                 });
-                return judge(node, request, response, connection);
+                return classify_reply(node, request, response, connection);
             }
             Ok(Err(mut error)) => match error.take_message() {
-                // The kept connection was closed before anything went out.
+                // The pooled connection was closed before anything was sent.
                 Some(unsent) if is_kept => {
                     message = unsent;
                     kept = node.pool.take(candidate.address);
@@ -150,17 +151,18 @@
     }
 }
 
-/// Whether a target that was chosen may not get the request any more: while it
-/// waited or connected, a configuration may have taken the region away, the
-/// target may have left or asked for rest, its weights may have become too old, or
-/// other targets may have ended under the request.
-fn is_barred(node: &Node, request: &Accepted, chosen: &Candidate) -> bool {
+/// Returns whether a chosen target has become ineligible for the request. While
+/// the request waited or connected, a new configuration may have disallowed the
+/// region, the target may have left or asked for backoff, its weights may have
+/// become too old, or the request may have been quarantined because other targets
+/// ended while running it.
+fn is_ineligible(node: &Node, request: &Accepted, chosen: &Candidate) -> bool {
     let view = node.view();
     if !request.is_trial && node.hold_left_ms(&view, &request.fingerprint).is_some() {
         return true;
     }
     let residency = view.residency(&request.residency);
-    // `tried` is left out: this target was added to it when it was chosen.
+    // `tried` stays empty: the chosen target was already added to it.
     let needs = Requirements {
         now: node.clock.now(),
         least: node.least_version(&view, &request.service),
@@ -176,19 +178,22 @@
     node: &Node,
     request: &Accepted,
     candidate: &Candidate,
-    least_version: Option<u64>,
+    min_version: Option<u64>,
     last_event: Option<&Bytes>,
 ) -> Result<Request<Full<Bytes>>, SendError> {
     let names = node.interface.headers();
     let mut message = Request::new(Full::new(request.body.clone()));
     *message.method_mut() = request.method.clone();
-    *message.uri_mut() = request.target.parse().map_err(|_| SendError::Unreachable)?;
+    *message.uri_mut() = request
+        .path_and_query
+        .parse()
+        .map_err(|_| SendError::Unreachable)?;
     *message.headers_mut() = request.headers.clone();
     let headers = message.headers_mut();
     if let Ok(id) = HeaderValue::from_str(candidate.id.as_str()) {
         headers.insert(&names.expected_target, id);
     }
-    if let Some(version) = least_version.and(candidate.version) {
+    if let Some(version) = min_version.and(candidate.version) {
         headers.insert(&names.expected_version, HeaderValue::from(version));
     }
     if let Some(event) = last_event
@@ -199,9 +204,10 @@
     Ok(message)
 }
 
-/// Says how long the target has. An engine may go on with a request whose
-/// connection was closed; it stops at the time that it is given: what still
-/// waits in its queue then does not begin on weights that are too old.
+/// Sets the deadline header. An engine may keep a request queued after its
+/// connection was closed, but drops it at the deadline. The deadline is
+/// therefore no later than the last time at which a request may begin on the
+/// target's weights.
 fn set_deadline(node: &Node, request: &Accepted, candidate: &Candidate, headers: &mut HeaderMap) {
     let names = node.interface.headers();
     let old = node.old_weights(&request.service, candidate.version);
@@ -210,13 +216,13 @@
     headers.insert(&names.deadline_ms, HeaderValue::from(left));
 }
 
-/// Whether the answer names the request as the one that it is to.
+/// Returns whether the answer carries the request's id.
 fn is_answer_to(node: &Node, request: &Accepted, headers: &HeaderMap) -> bool {
     let names = node.interface.headers();
     headers.get(&names.request_id) == Some(&request.id)
 }
 
-fn judge(
+fn classify_reply(
     node: &Node,
     request: &Accepted,
     response: http::Response<Incoming>,
@@ -227,46 +233,51 @@
     let same = is_answer_to(node, request, &head.headers);
     let not_executed = head.headers.contains_key(&names.not_executed)
         || head.status == StatusCode::MISDIRECTED_REQUEST;
-    // A target that runs nothing may answer before it has read the identity.
+    // A target that rejects a request may answer before it has read the id.
     let is_other = !same && (!not_executed || head.headers.contains_key(&names.request_id));
     if is_other {
         node.metrics.count("answer_of_another_request");
-        return Err(SendError::Spoilt);
+        return Err(SendError::InvalidAnswer);
     }
     let signed = head.headers.contains_key(&names.signature);
-    let verdict = if not_executed {
-        Verdict::TurnedAway
+    let class = if not_executed {
+        ReplyClass::Rejected
     } else if head.status.is_success() {
         if !signed {
             node.metrics.count("answer_not_signed");
-            return Err(SendError::Spoilt);
+            return Err(SendError::InvalidAnswer);
         }
-        Verdict::Succeeded
-    } else if head.status.is_server_error() || is_promise(head.status) {
-        Verdict::Failed
+        ReplyClass::Succeeded
+    } else if head.status.is_server_error() || implies_not_run(head.status) {
+        ReplyClass::Failed
     } else {
-        Verdict::Final
+        ReplyClass::Final
     };
     Ok(Reply {
         status: head.status,
         headers: head.headers,
         body,
-        verdict,
+        class,
         connection,
     })
 }
 
-/// Whether callers take the status as a promise that nothing ran.
-pub fn is_promise(status: StatusCode) -> bool {
+/// Returns whether callers read the status as a guarantee that nothing ran.
+pub fn implies_not_run(status: StatusCode) -> bool {
     matches!(status.as_u16(), 408 | 421 | 429 | 503)
 }
 
 impl Reply {
-    /// Reads the whole body and keeps the connection for the next request.
+    /// Reads the whole body.
     ///
     /// # Errors
-    /// When the body breaks off, is too large or does not come in time.
-    pub async fn whole_body(&mut self, node: &Node, until: Millis) -> Result<Bytes, SendError> {
+    /// Returns [`SendError::Broken`] if the connection breaks or the body is too
+    /// large, and [`SendError::TimedOut`] if it does not arrive by `until`.
+    pub async fn read_whole_body(
+        &mut self,
+        node: &Node,
+        until: Millis,
+    ) -> Result<Bytes, SendError> {
         let mut bytes = BytesMut::new();
         let limit = node.clock.instant(until);
         loop {
@@ -287,7 +298,7 @@
         }
     }
 
-    /// Keeps the connection for the next request, once the body was read.
+    /// Returns the connection to the pool; to be called after the body was read.
     pub fn keep_connection(self, node: &Node) {
         let closes = self.headers.get(hyper::header::CONNECTION);
         let closes = closes.is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"close"));
@@ -297,7 +308,7 @@
         let limit = keep_alive_limit(&self.headers);
         let pool = node.pool.clone();
         let mut connection = self.connection;
-        // It is ready for the next request a moment after the last byte.
+        // The connection becomes ready shortly after the last byte was read.
         tokio::spawn(async move {
             if connection.sender.ready().await.is_ok() {
                 pool.give_back(connection, limit);
--- a/crates/moleroad_gateway/src/front/mod.rs
+++ b/crates/moleroad_gateway/src/front/mod.rs
@@ -1,25 +1,34 @@
-//! Callers' requests: taken, sent to a target, answered.
+//! The reverse proxy: accepts callers' requests, forwards them to targets and
+//! returns the answers.
 //!
-//! [`serve`] takes connections, [`request`] reads and checks a request,
-//! [`attempt`] sends it until it has an answer, [`sends`] counts that, `waiting` says how
-//! long it waits for a place, [`exchange`] is one send over
-//! a connection of the [`pool`], `breaks` notes those that broke off, `give_up` answers when no target does, `patience` says how long
-//! silence is borne, [`whole`] reads answers to their end, [`stream`] passes events on and resumes at
-//! another target, [`answer`] holds the answers of our own.
+//! - [`serve`] accepts connections and handles each request.
+//! - [`request`] reads and validates a request.
+//! - [`attempt`] sends a request, with retries, until it has an answer.
+//! - [`sends`] tracks the number of sends and what was already counted.
+//! - `waiting` decides how long a request waits for a place.
+//! - [`exchange`] performs one send over a connection of the [`pool`].
+//! - [`connect`] opens a connection, with a hedge against packet loss.
+//! - `broken_sends` records sends whose connection broke.
+//! - [`give_up`] builds the answer when no target provides one.
+//! - `silence_timeouts` derives timeouts from the route.
+//! - [`buffered`] reads a complete answer before forwarding it.
+//! - [`stream`] forwards event streams and resumes them at another target.
+//! - [`events`] splits a byte stream into events.
+//! - [`answer`] defines the answers that the entry generates itself.
 
 pub mod answer;
 pub mod attempt;
 mod attempt_log;
-mod breaks;
+mod broken_sends;
+pub mod buffered;
 pub mod connect;
 pub mod events;
 pub mod exchange;
 pub mod give_up;
-mod patience;
 pub mod pool;
 pub mod request;
 pub mod sends;
 pub mod serve;
+mod silence_timeouts;
 pub mod stream;
 mod waiting;
-pub mod whole;
--- a/crates/moleroad_gateway/src/front/pool.rs
+++ b/crates/moleroad_gateway/src/front/pool.rs
@@ -1,6 +1,6 @@
-//! Kept connections to targets.
+//! Pool of idle connections to targets.
 
-use crate::front::connect::first_up;
+use crate::front::connect::first_connected;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::client::conn::http1::SendRequest;
@@ -13,24 +13,25 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// Time for a connection to come up.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long an idle connection is kept when the target does not say.
-const IDLE_UNSAID: Duration = Duration::from_secs(4);
-/// How much earlier than the target an idle connection is given up: its clock
-/// runs from the last byte that it sent, and a request may be on the way.
+/// How long an idle connection is kept if the target states no keep-alive timeout.
+const DEFAULT_IDLE: Duration = Duration::from_secs(4);
+/// How much earlier than the target an idle connection is closed. The target's
+/// timeout starts when it sends its last byte, and a request must not be in
+/// transit when the target closes the connection.
 const IDLE_MARGIN: Duration = Duration::from_millis(1_500);
-/// Most idle connections kept to one address.
-const MOST_IDLE: usize = 32;
+/// Maximum number of idle connections to one address.
+const MAX_IDLE_PER_ADDRESS: usize = 32;
 
 /// One connection to a target; closed when dropped.
 pub struct Connection {
-    /// Takes requests.
+    /// Sends requests on the connection.
     pub sender: SendRequest<Full<Bytes>>,
     address: SocketAddr,
     driver: AbortHandle,
-    /// Until when it would have been kept, had it not been taken; `None` for a
-    /// new one.
+    /// Idle expiry at the time it was taken from the pool; `None` for a new
+    /// connection.
     idle_until: Option<Instant>,
 }
 
@@ -47,14 +48,14 @@
 
 type IdleByAddress = HashMap<SocketAddr, Vec<Idle>>;
 
-/// Kept connections to targets.
+/// Pool of idle connections, by address.
 #[derive(Clone, Default)]
 pub struct Pool {
     idle: Arc<Mutex<IdleByAddress>>,
 }
 
 impl Pool {
-    /// An idle connection to `address`, the one used last.
+    /// Takes the most recently used idle connection to `address`.
     pub fn take(&self, address: SocketAddr) -> Option<Connection> {
         let now = Instant::now();
         let mut idle = self.lock();
@@ -71,12 +72,12 @@
         None
     }
 
-    /// A new connection to `address`.
+    /// Opens a new connection to `address`.
     ///
     /// # Errors
-    /// When it does not come up in time; nothing was sent.
+    /// Returns an error if the connection fails or times out; no request was sent.
     pub async fn connect(&self, address: SocketAddr) -> std::io::Result<Connection> {
-        let connecting = first_up(|| TcpStream::connect(address));
+        let connecting = first_connected(|| TcpStream::connect(address));
         let stream = tokio::time::timeout(CONNECT_TIMEOUT, connecting).await??;
         crate::peers::prepare(&stream);
         let builder = hyper::client::conn::http1::Builder::new();
@@ -95,17 +96,17 @@
         })
     }
 
-    /// Keeps a connection whose last answer was whole. `target_limit` is the
-    /// time for which the target said it keeps it.
+    /// Returns a connection whose last answer was read completely.
+    /// `target_limit` is the keep-alive timeout stated by the target.
     pub fn give_back(&self, connection: Connection, target_limit: Option<Duration>) {
         self.keep(connection, Instant::now() + idle_limit(target_limit));
     }
 
-    /// Keeps a connection on which nothing was sent, no longer than it would
-    /// have been kept: the target's clock runs from its last answer.
+    /// Returns a connection on which nothing was sent. Its idle expiry stays the
+    /// same, because the target's timeout runs from its last answer.
     pub fn give_back_unused(&self, connection: Connection) {
-        let unsaid = Instant::now() + IDLE_UNSAID;
-        let until = connection.idle_until.unwrap_or(unsaid);
+        let default_until = Instant::now() + DEFAULT_IDLE;
+        let until = connection.idle_until.unwrap_or(default_until);
         self.keep(connection, until);
     }
 
@@ -115,12 +116,12 @@
         }
         let mut idle = self.lock();
         let kept = idle.entry(connection.address).or_default();
-        if kept.len() < MOST_IDLE {
+        if kept.len() < MAX_IDLE_PER_ADDRESS {
             kept.push(Idle { connection, until });
         }
     }
 
-    /// Closes connections that were idle for too long.
+    /// Closes connections whose idle time has expired.
     pub fn expire(&self) {
         let now = Instant::now();
         let mut idle = self.lock();
@@ -130,7 +131,7 @@
         idle.retain(|_, kept| !kept.is_empty());
     }
 
-    /// Closes idle connections to `address`.
+    /// Closes all idle connections to `address`.
     pub fn forget(&self, address: SocketAddr) {
         self.lock().remove(&address);
     }
@@ -140,8 +141,9 @@
     }
 }
 
-/// How long an idle connection is kept: nearly as long as the target keeps it,
-/// since each entry sends to each of many targets only every few seconds.
+/// Returns how long an idle connection is kept. This is nearly as long as the
+/// target keeps it, since each entry sends to each of many targets only every few
+/// seconds.
 pub fn idle_limit(target_limit: Option<Duration>) -> Duration {
-    target_limit.map_or(IDLE_UNSAID, |limit| limit.saturating_sub(IDLE_MARGIN))
+    target_limit.map_or(DEFAULT_IDLE, |limit| limit.saturating_sub(IDLE_MARGIN))
 }
--- a/crates/moleroad_gateway/src/front/request.rs
+++ b/crates/moleroad_gateway/src/front/request.rs
@@ -1,4 +1,4 @@
-//! Reading and checking a caller's request.
+//! Reads and validates a caller's request.
 
 use crate::front::answer::EntryError;
 use crate::node::Node;
@@ -15,52 +15,53 @@
 use moleroad_types::prelude::Millis;
 use std::sync::Arc;
 
-/// Longest time that a request without a deadline of its own is held, in
-/// milliseconds, if its route allows more.
-const LONGEST_HOLD_MS: u64 = 600_000;
+/// Upper limit on the time that a request may take, in milliseconds, where its
+/// route's timeout is longer.
+const MAX_HOLD_MS: u64 = 600_000;
 
-/// A request that may be sent.
+/// A validated request that may be sent to a target.
 pub struct Accepted {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path and query as the caller sent them.
-    pub target: String,
-    /// Headers for targets, without those of a single send.
+    /// Path and query, as sent by the caller.
+    pub path_and_query: String,
+    /// Headers for targets, without those that differ between sends.
     pub headers: HeaderMap,
-    /// Body.
+    /// Complete request body.
     pub body: Bytes,
-    /// Identity that the caller gave it.
+    /// Request id set by the caller; `-` if it set none.
     pub id: HeaderValue,
-    /// Its route.
+    /// Matching route.
     pub route: Arc<Route>,
-    /// Service drawn from the route's.
+    /// Service selected at random by the route's weights.
     pub service: String,
-    /// Version of the configuration that decided.
+    /// Version of the configuration that the request was validated against.
     pub config_version: u64,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// When it came.
+    /// Arrival time.
     pub arrived: Millis,
-    /// When the caller stops waiting, if it said so.
-    pub caller_until: Option<Millis>,
-    /// When it must be answered.
+    /// Deadline stated by the caller, if any.
+    pub caller_deadline: Option<Millis>,
+    /// Deadline for the answer.
     pub until: Millis,
-    /// Tokens of its prompt; 0 when the caller does not say.
+    /// Number of prompt tokens; 0 if the caller does not state it.
     pub prompt_tokens: u64,
-    /// Where it may be served.
+    /// Regions in which the request may be served.
     pub residency: Residency,
-    /// Event after which a stream goes on.
+    /// Id of the last event that the caller received, for resuming a stream.
     pub last_event: Option<Bytes>,
-    /// What stays of it when its caller repeats it.
+    /// Fingerprint that stays the same when the caller retries the request.
     pub fingerprint: RequestFingerprint,
-    /// Whether its first send is made although it is held.
+    /// Whether the first send is a trial, allowed although the request is
+    /// quarantined.
     pub is_trial: bool,
 }
 
-/// Reads and checks a request.
+/// Reads and validates a request.
 ///
 /// # Errors
-/// The answer to give, when it may not be sent.
+/// Returns the answer for the caller if the request may not be sent.
 pub async fn accept(
     node: &Node,
     request: Request<Incoming>,
@@ -81,7 +82,7 @@
     let weighted = RouteTable::service_of(&route, rand::random()).ok_or(EntryError::NoRoute)?;
     let service = weighted.service.clone();
     let deadline_ms = number(head.headers.get(&names.deadline_ms));
-    let hold_ms = route.timeout_ms.min(LONGEST_HOLD_MS);
+    let hold_ms = route.timeout_ms.min(MAX_HOLD_MS);
     let until = arrived + deadline_ms.map_or(hold_ms, |deadline| deadline.min(hold_ms));
     let usage = node
         .interface
@@ -89,12 +90,12 @@
         .unwrap_or_default();
     let last_event = head.headers.get(&names.last_event);
     let last_event = last_event.map(|value| Bytes::copy_from_slice(value.as_bytes()));
-    let target = head.uri.path_and_query().map_or("/", |both| both.as_str());
-    let target = target.to_string();
+    let path_and_query = head.uri.path_and_query().map_or("/", |both| both.as_str());
+    let path_and_query = path_and_query.to_string();
     let priority = account.as_ref().and_then(|account| account.priority);
     let key = key.and_then(|key| key.to_str().ok());
     let residency = Residency::new(&table, &host, path, key);
-    let mut headers = forwarded(&head.headers);
+    let mut headers = forwarded_headers(&head.headers);
     set_account(&mut headers, &names.account, account.as_deref());
     headers.remove(&names.key);
     headers.remove(&names.expected_target);
@@ -108,14 +109,14 @@
         account: account.as_ref().map(|account| account.name.as_str()),
         method: head.method.as_str(),
         host: &host,
-        target: &target,
+        target: &path_and_query,
         body: &body,
     };
     Ok(Accepted {
         fingerprint: content.fingerprint(),
         is_trial: false,
         method: head.method.clone(),
-        target,
+        path_and_query,
         headers,
         body,
         id,
@@ -124,7 +125,7 @@
         priority: priority.unwrap_or(route.priority),
         route,
         arrived,
-        caller_until: deadline_ms.map(|deadline| arrived + deadline),
+        caller_deadline: deadline_ms.map(|deadline| arrived + deadline),
         until,
         residency,
         last_event,
@@ -163,7 +164,7 @@
     value?.to_str().ok()?.trim().parse().ok()
 }
 
-/// Headers that concern one connection only (RFC 9110, section 7.6.1).
+/// Hop-by-hop headers (RFC 9110, section 7.6.1).
 const CONNECTION_HEADERS: [HeaderName; 8] = [
     CONNECTION,
     TE,
@@ -175,8 +176,8 @@
     HeaderName::from_static("keep-alive"),
 ];
 
-/// The headers that go on to the other side.
-pub fn forwarded(headers: &HeaderMap) -> HeaderMap {
+/// Returns the headers without the hop-by-hop ones.
+pub fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
     let mut kept = headers.clone();
     for value in headers.get_all(CONNECTION) {
         for name in value.to_str().unwrap_or_default().split(',') {
--- a/crates/moleroad_gateway/src/front/sends.rs
+++ b/crates/moleroad_gateway/src/front/sends.rs
@@ -1,56 +1,56 @@
-//! What is counted once for a request, however often it looks for a place.
+//! Counts the sends of a request, and ensures that per-request statistics are
+//! recorded once.
 //!
-//! A place may be given back before anything goes out: no connection comes up,
-//! or what was learned meanwhile bars the target. The request then looks for a
-//! place again, but counts once.
+//! A place may be given back before anything is sent, because no connection could
+//! be opened or the target became ineligible in the meantime. The request then
+//! acquires another place, but must not be counted again.
 
-/// How often a request was sent, and what was already counted of it.
+/// Number of sends of a request, and which statistics already include it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Sends {
     made: u32,
-    /// Whether a repeat was taken from the budget for a send that is yet to be
-    /// made.
+    /// Whether a retry was taken from the budget for the next send.
     holds_repeat: bool,
-    noted_in_time: bool,
-    noted_first: bool,
+    counted_in_time: bool,
+    counted_first: bool,
 }
 
 impl Sends {
-    /// Number of sends that reached a target.
+    /// Returns the number of sends that reached a target.
     pub fn made(&self) -> u32 {
         self.made
     }
 
-    /// Whether nothing was sent yet.
+    /// Returns whether no send has reached a target yet.
     pub fn is_first(&self) -> bool {
         self.made == 0
     }
 
-    /// Whether the next send must take a repeat from the budget.
+    /// Returns whether the next send must take a retry from the budget.
     pub fn needs_repeat(&self) -> bool {
         self.made > 0 && !self.holds_repeat
     }
 
-    /// Notes that a repeat was taken for the next send.
+    /// Records that a retry was taken for the next send.
     pub fn took_repeat(&mut self) {
         self.holds_repeat = true;
     }
 
-    /// Notes that a send reached a target.
+    /// Records that a send reached a target.
     pub fn reached_target(&mut self) {
         self.made += 1;
         self.holds_repeat = false;
     }
 
-    /// True the first time it is called before anything was sent: whether a place
-    /// was found in time is then to be counted.
+    /// Returns true on the first call before the first send reaches a target. The
+    /// caller then counts whether a place was found in time.
     pub fn claim_in_time_count(&mut self) -> bool {
-        self.made == 0 && !std::mem::replace(&mut self.noted_in_time, true)
+        self.made == 0 && !std::mem::replace(&mut self.counted_in_time, true)
     }
 
-    /// True the first time it is called before anything was sent: the first place
-    /// is then to be counted.
+    /// Returns true on the first call before the first send reaches a target. The
+    /// caller then counts the first place.
     pub fn claim_first_count(&mut self) -> bool {
-        self.made == 0 && !std::mem::replace(&mut self.noted_first, true)
+        self.made == 0 && !std::mem::replace(&mut self.counted_first, true)
     }
 }
--- a/crates/moleroad_gateway/src/front/serve.rs
+++ b/crates/moleroad_gateway/src/front/serve.rs
@@ -1,9 +1,9 @@
-//! Taking callers' connections.
+//! Accepts callers' connections and handles their requests.
 
 use crate::front::answer::{Answer, EntryError, close_after};
-use crate::front::attempt::Sent;
+use crate::front::attempt::LastSend;
 use crate::front::request::Accepted;
-use crate::front::{request, stream, whole};
+use crate::front::{buffered, request, stream};
 use crate::listening::accept_connections;
 use crate::node::Node;
 use crate::trial;
@@ -17,12 +17,12 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Rest of a connection while no configuration says otherwise, in milliseconds.
-const IDLE_MS: u64 = 15_000;
-/// Largest request head, in bytes.
-const HEAD_BYTES: usize = 64 << 10;
+/// Idle timeout of a connection before a configuration is known, in milliseconds.
+const DEFAULT_IDLE_MS: u64 = 15_000;
+/// Largest request head before a configuration is known, in bytes.
+const DEFAULT_HEAD_BYTES: usize = 64 << 10;
 
-/// Takes connections until the process ends.
+/// Accepts and serves connections until the process ends.
 pub async fn serve(node: Arc<Node>, listener: TcpListener) {
     accept_connections(listener, |connection| {
         serve_connection(node.clone(), connection)
@@ -32,58 +32,58 @@
 
 async fn serve_connection(node: Arc<Node>, connection: TcpStream) {
     let limits = node.view().table.as_ref().map(|table| table.limits());
-    let idle_ms = limits.map_or(IDLE_MS, |limits| limits.idle_timeout_ms);
-    let head_bytes = limits.map_or(HEAD_BYTES, |limits| {
+    let idle_ms = limits.map_or(DEFAULT_IDLE_MS, |limits| limits.idle_timeout_ms);
+    let head_bytes = limits.map_or(DEFAULT_HEAD_BYTES, |limits| {
         limits.max_header_bytes.max(8_192) + 8_192
     });
-    let handling = service_fn(|request| handle(node.clone(), request));
+    let service = service_fn(|request| handle(node.clone(), request));
     let served = hyper::server::conn::http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(Duration::from_millis(idle_ms))
         .max_buf_size(head_bytes)
-        .serve_connection(TokioIo::new(connection), handling);
+        .serve_connection(TokioIo::new(connection), service);
     let _ = served.await;
 }
 
-/// Counts a request while it is being answered.
-struct InFlight(Arc<Node>);
+/// Counts a request as in flight until dropped.
+struct InFlightGuard(Arc<Node>);
 
-impl InFlight {
+impl InFlightGuard {
     fn new(node: &Arc<Node>) -> Self {
         node.in_flight.fetch_add(1, Ordering::Relaxed);
         Self(node.clone())
     }
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 async fn handle(node: Arc<Node>, message: Request<Incoming>) -> Result<Answer, Infallible> {
-    let _counted = InFlight::new(&node);
+    let _counted = InFlightGuard::new(&node);
     node.unmeasured_requests.fetch_add(1, Ordering::Relaxed);
     let arrived = node.clock.now();
     let id = message.headers().get(&node.interface.headers().request_id);
     let id = id.cloned();
-    let mut left = Unanswered::new(&node, id.clone());
+    let mut guard = DisconnectGuard::new(&node, id.clone());
     let result = request::accept(&node, message, arrived).await;
-    let mut description = None;
+    let mut summary = None;
     let mut answer = match result {
-        Err(own) => own.response(own_retry_after(own)),
+        Err(error) => error.response(retry_after_ms(error)),
         Ok(_) if node.requests_stopped() => EntryError::Leaving.response(Some(0)),
         Ok(mut accepted) => {
             accepted.is_trial = trial::is_granted(&node, &accepted).await;
-            description = Some(Description::of(&accepted));
+            summary = Some(RequestSummary::of(&accepted));
             if accepted.route.streaming {
                 stream::answer_stream(&node, accepted).await
             } else {
-                whole::answer_whole(&node, accepted).await
+                buffered::answer_buffered(&node, accepted).await
             }
         }
     };
-    left.answered();
+    guard.answered();
     if let Some(id) = id {
         let name = &node.interface.headers().request_id;
         if !answer.headers().contains_key(name) {
@@ -93,28 +93,29 @@
     if node.is_leaving() {
         close_after(&mut answer);
     }
-    note_answer(&node, &answer, &left, description, arrived);
+    record_answer(&node, &answer, &guard, summary, arrived);
     Ok(answer)
 }
 
-fn own_retry_after(own: EntryError) -> Option<u64> {
-    match own {
+fn retry_after_ms(error: EntryError) -> Option<u64> {
+    match error {
         EntryError::NoConfiguration => Some(NO_CONFIGURATION_RETRY_MS),
         EntryError::BodyTimeout => Some(0),
         _ => None,
     }
 }
 
+/// Retry delay while no configuration is known, in milliseconds.
 const NO_CONFIGURATION_RETRY_MS: u64 = 300;
 
-/// What the log says of a request that could be read.
-struct Description {
+/// Log fields of a request that was read and validated.
+struct RequestSummary {
     route: String,
     config_version: u64,
     is_restricted: bool,
 }
 
-impl Description {
+impl RequestSummary {
     fn of(accepted: &Accepted) -> Self {
         Self {
             route: accepted.route.name.clone(),
@@ -124,10 +125,10 @@
     }
 }
 
-fn count_residency(node: &Node, answer: &Answer, description: &Description) {
-    let own = answer.extensions().get::<EntryError>();
-    let outcome = own.map_or("from_target", |own| own.outcome());
-    let regions = if description.is_restricted {
+fn count_residency(node: &Node, answer: &Answer, summary: &RequestSummary) {
+    let error = answer.extensions().get::<EntryError>();
+    let outcome = error.map_or("from_target", |error| error.outcome());
+    let regions = if summary.is_restricted {
         "restricted"
     } else {
         "all"
@@ -136,11 +137,11 @@
     counter.with_label_values(&[regions, outcome]).inc();
 }
 
-fn note_answer(
+fn record_answer(
     node: &Node,
     answer: &Answer,
-    left: &Unanswered,
-    description: Option<Description>,
+    guard: &DisconnectGuard,
+    summary: Option<RequestSummary>,
     arrived: moleroad_types::prelude::Millis,
 ) {
     let status = answer.status().as_u16();
@@ -152,42 +153,40 @@
     node.metrics
         .first_byte_s
         .observe(elapsed_ms as f64 / 1_000.0);
-    let sent = answer.extensions().get::<Sent>();
-    let belief = sent.map(|sent| sent.belief).unwrap_or_default();
-    if let Some(description) = &description {
-        count_residency(node, answer, description);
+    let sent = answer.extensions().get::<LastSend>();
+    let estimate = sent.map(|sent| sent.load_estimate).unwrap_or_default();
+    if let Some(summary) = &summary {
+        count_residency(node, answer, summary);
     }
-    let route = description
-        .as_ref()
-        .map_or("-", |known| known.route.as_str());
-    let config_version = description.as_ref().map_or(0, |known| known.config_version);
+    let route = summary.as_ref().map_or("-", |known| known.route.as_str());
+    let config_version = summary.as_ref().map_or(0, |known| known.config_version);
     log::info!(
         event = "answer",
-        request = left.id(),
+        request = guard.id(),
         route = route,
         configuration = config_version,
         status = status,
-        result = answer.extensions().get::<EntryError>().map_or("-", |own| own.parts().1),
+        result = answer.extensions().get::<EntryError>().map_or("-", |error| error.parts().1),
         elapsed_ms = elapsed_ms,
         target = sent.map_or("-", |sent| sent.target.as_str()),
         sends = sent.map_or(0, |sent| sent.send),
         waited_ms = sent.map_or(elapsed_ms, |sent| sent.waited_ms),
         weights = sent.map_or(0, |sent| sent.weights),
-        believed_requests = belief.requests,
-        believed_unread_tokens = belief.unread_tokens,
-        report_age_ms = belief.report_age_ms.unwrap_or(0);
+        believed_requests = estimate.requests,
+        believed_unread_tokens = estimate.unread_tokens,
+        report_age_ms = estimate.report_age_ms.unwrap_or(0);
         ""
     );
 }
 
-/// Notes a caller that left before its answer.
-struct Unanswered {
+/// Counts and logs a caller that disconnects before its answer is ready.
+struct DisconnectGuard {
     node: Arc<Node>,
     id: Option<hyper::header::HeaderValue>,
     answered: AtomicBool,
 }
 
-impl Unanswered {
+impl DisconnectGuard {
     fn new(node: &Arc<Node>, id: Option<hyper::header::HeaderValue>) -> Self {
         Self {
             node: node.clone(),
@@ -206,7 +205,7 @@
     }
 }
 
-impl Drop for Unanswered {
+impl Drop for DisconnectGuard {
     fn drop(&mut self) {
         if !self.answered.load(Ordering::Relaxed) {
             self.node.metrics.count("caller_left");
--- a/crates/moleroad_gateway/src/front/stream.rs
+++ b/crates/moleroad_gateway/src/front/stream.rs
@@ -1,14 +1,17 @@
-//! Streams of events: passed on as they come, resumed at another target under
-//! the head of the first one, or ended so that they do not look complete.
+//! Forwards event streams as they arrive.
+//!
+//! If a target's stream breaks, it is resumed at another target without a new
+//! response head; if that is impossible, the answer is aborted so that the caller
+//! does not take it as complete.
 
 use crate::front::answer::{Answer, AnswerBody, EntryError};
-use crate::front::attempt::{Attempts, LOOK_FOR_OTHERS, Running};
-use crate::front::breaks::Progress;
+use crate::front::attempt::{Attempts, RETARGET_CHECK_INTERVAL, RunningSend};
+use crate::front::broken_sends::Progress;
 use crate::front::events::EventSplitter;
-use crate::front::exchange::{SendError, Verdict};
-use crate::front::give_up::{GiveUp, note_last_send, passed_on};
-use crate::front::patience;
+use crate::front::exchange::{ReplyClass, SendError};
+use crate::front::give_up::{GiveUp, attach_last_send, forwarded_answer};
 use crate::front::request::Accepted;
+use crate::front::silence_timeouts;
 use crate::node::Node;
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -19,26 +22,28 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// Parts that wait for a slow reader.
-const PARTS_AHEAD: usize = 16;
-/// Who broke a stream off.
+/// Number of parts that are buffered for a slow caller.
+const PART_BUFFER: usize = 16;
+
+/// The side that ended a stream early.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum BrokenBy {
-    /// The target, or the link to it.
+    /// The target or the link to it.
     Target,
-    /// This entry: the target was silent, too talkative or is outdated.
+    /// This entry: the target was silent, sent an oversized event, or must not
+    /// begin the request any more.
     Entry,
 }
 
-/// How the events of one target ended.
-enum End {
+/// How the stream of one target ended.
+enum StreamEnd {
     Complete,
     Broken(BrokenBy),
     CallerLeft,
-    TimeOver,
+    DeadlinePassed,
 }
 
-/// Sends a request whose answer is a stream, and begins to answer it.
+/// Sends a request whose answer is a stream, and starts forwarding the events.
 pub async fn answer_stream(node: &Arc<Node>, request: Accepted) -> Answer {
     let mut splitter = EventSplitter::after(request.last_event.clone());
     let mut attempts = Attempts::new(node.clone(), request);
@@ -47,51 +52,55 @@
             Ok(running) => running,
             Err(reason) => {
                 let mut answer = attempts.give_up(reason);
-                note_last_send(&attempts, &mut answer);
+                attach_last_send(&attempts, &mut answer);
                 return answer;
             }
         };
-        if running.reply.verdict == Verdict::Final {
-            return pass_on_final(node, &attempts, running).await;
+        if running.reply.class == ReplyClass::Final {
+            return forward_final(node, &attempts, running).await;
         }
         match first_events(node, &attempts, &mut running, &mut splitter).await {
-            First::Events(events) => {
+            FirstEvents::Events(events) => {
                 running.place.was_read();
-                return begin(node, attempts, running, splitter, events);
+                return start_relay(node, attempts, running, splitter, events);
             }
-            First::Complete => {
+            FirstEvents::Complete => {
                 node.note_success(attempts.request.fingerprint);
                 running.place.ended(Outcome::Answered);
-                let answer = passed_on(&running.reply, AnswerBody::Whole(None));
+                let answer = forwarded_answer(&running.reply, AnswerBody::Whole(None));
                 running.reply.keep_connection(node);
                 return answer;
             }
-            First::Broken(by) => {
+            FirstEvents::Broken(by) => {
                 if by == BrokenBy::Target {
-                    attempts.note_break(&running.place, Progress::NoEvent);
+                    attempts.record_break(&running.place, Progress::NoEvent);
                 }
                 running.place.ended(Outcome::Broken);
-                attempts.broke_off();
+                attempts.record_broken_answer();
                 splitter.discard_partial_event();
                 if !attempts.is_idempotent() {
-                    return attempts.give_up(GiveUp::NotAgain);
+                    return attempts.give_up(GiveUp::NoRetry);
                 }
             }
         }
     }
 }
 
-async fn pass_on_final(node: &Arc<Node>, attempts: &Attempts, mut running: Running) -> Answer {
-    match running.reply.whole_body(node, attempts.request.until).await {
+async fn forward_final(node: &Arc<Node>, attempts: &Attempts, mut running: RunningSend) -> Answer {
+    match running
+        .reply
+        .read_whole_body(node, attempts.request.until)
+        .await
+    {
         Ok(body) => {
             running.place.ended(Outcome::Answered);
-            let answer = passed_on(&running.reply, AnswerBody::Whole(Some(body)));
+            let answer = forwarded_answer(&running.reply, AnswerBody::Whole(Some(body)));
             running.reply.keep_connection(node);
             answer
         }
         Err(error) => {
             if error == SendError::Broken {
-                attempts.note_break(&running.place, Progress::PartOfBody);
+                attempts.record_break(&running.place, Progress::PartOfBody);
             }
             running.place.ended(Outcome::Broken);
             EntryError::Broken.response(None)
@@ -99,9 +108,9 @@
     }
 }
 
-/// What a broken stream tells of its target: nothing, when the target was cut
-/// on purpose to take other weights.
-fn broken_outcome(node: &Node, running: &Running) -> Outcome {
+/// Returns the outcome to record for a target whose stream broke. It is not a
+/// failure if the engine aborted its requests to switch to other weights.
+fn broken_outcome(node: &Node, running: &RunningSend) -> Outcome {
     let view = node.view();
     let agent = view
         .directory
@@ -114,7 +123,7 @@
     }
 }
 
-enum First {
+enum FirstEvents {
     Events(Bytes),
     Complete,
     Broken(BrokenBy),
@@ -123,21 +132,21 @@
 async fn first_events(
     node: &Node,
     attempts: &Attempts,
-    running: &mut Running,
+    running: &mut RunningSend,
     splitter: &mut EventSplitter,
-) -> First {
+) -> FirstEvents {
     let request = &attempts.request;
     let until = node.clock.instant(request.until);
-    let patience = Duration::from_millis(patience::first_event_ms(&request.route));
-    let silent_at = Instant::now() + patience;
+    let timeout = Duration::from_millis(silence_timeouts::first_event_timeout_ms(&request.route));
+    let silent_at = Instant::now() + timeout;
     loop {
-        let look = Instant::now() + LOOK_FOR_OTHERS;
+        let look = Instant::now() + RETARGET_CHECK_INTERVAL;
         match tokio::time::timeout_at(until.min(look), running.reply.body.frame()).await {
             Err(_) => {
                 let now = Instant::now();
-                let is_silent = now >= silent_at && attempts.can_move(attempts.sends());
+                let is_silent = now >= silent_at && attempts.can_retarget(attempts.sends());
                 if now >= until || is_silent || attempts.is_start_forbidden(&running.place) {
-                    return First::Broken(BrokenBy::Entry);
+                    return FirstEvents::Broken(BrokenBy::Entry);
                 }
             }
             Ok(Some(Ok(frame))) => {
@@ -146,29 +155,29 @@
                 };
                 let events = splitter.push(&data);
                 if !events.is_empty() {
-                    return First::Events(events);
+                    return FirstEvents::Events(events);
                 }
                 if splitter.is_too_long() {
-                    return First::Broken(BrokenBy::Entry);
+                    return FirstEvents::Broken(BrokenBy::Entry);
                 }
             }
-            Ok(None) if !splitter.has_partial_event() => return First::Complete,
-            _ => return First::Broken(BrokenBy::Target),
+            Ok(None) if !splitter.has_partial_event() => return FirstEvents::Complete,
+            _ => return FirstEvents::Broken(BrokenBy::Target),
         }
     }
 }
 
 /// Answers with the first events and leaves the rest to a task.
-fn begin(
+fn start_relay(
     node: &Arc<Node>,
     attempts: Attempts,
-    running: Running,
+    running: RunningSend,
     splitter: EventSplitter,
     events: Bytes,
 ) -> Answer {
-    let (parts, body) = mpsc::channel(PARTS_AHEAD);
-    let mut answer = passed_on(&running.reply, AnswerBody::Parts(body));
-    note_last_send(&attempts, &mut answer);
+    let (parts, body) = mpsc::channel(PART_BUFFER);
+    let mut answer = forwarded_answer(&running.reply, AnswerBody::Parts(body));
+    attach_last_send(&attempts, &mut answer);
     let relay = Relay {
         node: node.clone(),
         attempts,
@@ -194,74 +203,75 @@
 }
 
 impl Relay {
-    async fn run(mut self, mut running: Running, first: Bytes) {
+    async fn run(mut self, mut running: RunningSend, first: Bytes) {
         if self.parts.send(Ok(first)).await.is_err() {
             return;
         }
         loop {
-            let end = self.pass_on(&mut running).await;
+            let end = self.forward_events(&mut running).await;
             match end {
-                End::Complete => {
+                StreamEnd::Complete => {
                     self.node.note_success(self.attempts.request.fingerprint);
                     running.place.ended(Outcome::Answered);
                     running.reply.keep_connection(&self.node);
                     return self.log_end("complete");
                 }
-                End::CallerLeft => return self.log_end("caller_left"),
-                End::TimeOver => return self.break_off("time_over").await,
-                End::Broken(by) => {
+                StreamEnd::CallerLeft => return self.log_end("caller_left"),
+                StreamEnd::DeadlinePassed => return self.abort("time_over").await,
+                StreamEnd::Broken(by) => {
                     if by == BrokenBy::Target {
                         self.attempts
-                            .note_break(&running.place, Progress::SomeEvents);
+                            .record_break(&running.place, Progress::SomeEvents);
                     }
                     running.place.ended(broken_outcome(&self.node, &running));
                     drop(running);
-                    self.attempts.broke_off();
+                    self.attempts.record_broken_answer();
                     self.splitter.discard_partial_event();
                     match self.resume().await {
                         Some(next) => running = next,
-                        None => return self.break_off("not_resumed").await,
+                        None => return self.abort("not_resumed").await,
                     }
                 }
             }
         }
     }
 
-    async fn pass_on(&mut self, running: &mut Running) -> End {
+    async fn forward_events(&mut self, running: &mut RunningSend) -> StreamEnd {
         let request = self.attempts.request.clone();
         let until = self.node.clock.instant(request.until);
-        let patience = Duration::from_millis(patience::pause_ms(&request.route));
-        let mut look = Instant::now() + patience;
+        let timeout =
+            Duration::from_millis(silence_timeouts::next_event_timeout_ms(&request.route));
+        let mut look = Instant::now() + timeout;
         loop {
             let limit = until.min(look);
             let frame = tokio::select! {
                 biased;
-                () = self.parts.closed() => return End::CallerLeft,
+                () = self.parts.closed() => return StreamEnd::CallerLeft,
                 frame = tokio::time::timeout_at(limit, running.reply.body.frame()) => frame,
             };
             match frame {
-                Err(_) if Instant::now() >= until => return End::TimeOver,
-                Err(_) if self.attempts.can_move(self.attempts.sends()) => {
+                Err(_) if Instant::now() >= until => return StreamEnd::DeadlinePassed,
+                Err(_) if self.attempts.can_retarget(self.attempts.sends()) => {
                     self.node.metrics.count("stream_silent");
-                    return End::Broken(BrokenBy::Entry);
+                    return StreamEnd::Broken(BrokenBy::Entry);
                 }
-                Err(_) => look = Instant::now() + LOOK_FOR_OTHERS,
+                Err(_) => look = Instant::now() + RETARGET_CHECK_INTERVAL,
                 Ok(None) if self.splitter.has_partial_event() => {
-                    return End::Broken(BrokenBy::Target);
+                    return StreamEnd::Broken(BrokenBy::Target);
                 }
-                Ok(None) => return End::Complete,
-                Ok(Some(Err(_))) => return End::Broken(BrokenBy::Target),
+                Ok(None) => return StreamEnd::Complete,
+                Ok(Some(Err(_))) => return StreamEnd::Broken(BrokenBy::Target),
                 Ok(Some(Ok(frame))) => {
                     let Ok(data) = frame.into_data() else {
                         continue;
                     };
-                    look = Instant::now() + patience;
+                    look = Instant::now() + timeout;
                     let events = self.splitter.push(&data);
                     if self.splitter.is_too_long() {
-                        return End::Broken(BrokenBy::Entry);
+                        return StreamEnd::Broken(BrokenBy::Entry);
                     }
                     if !events.is_empty() && !self.deliver(events, until).await {
-                        return End::CallerLeft;
+                        return StreamEnd::CallerLeft;
                     }
                 }
             }
@@ -273,7 +283,7 @@
         matches!(sent, Ok(Ok(())))
     }
 
-    async fn resume(&mut self) -> Option<Running> {
+    async fn resume(&mut self) -> Option<RunningSend> {
         if !self.attempts.is_idempotent() {
             return None;
         }
@@ -285,7 +295,7 @@
             next = self.attempts.next_run(last.as_ref()) => next,
         };
         let outcome = match &next {
-            Ok(running) if running.reply.verdict == Verdict::Succeeded => "resumed",
+            Ok(running) if running.reply.class == ReplyClass::Succeeded => "resumed",
             _ => "failed",
         };
         self.node.metrics.count("stream_resumption");
@@ -298,13 +308,16 @@
             ""
         );
         next.ok()
-            .filter(|running| running.reply.verdict == Verdict::Succeeded)
+            .filter(|running| running.reply.class == ReplyClass::Succeeded)
     }
 
-    /// Ends the answer so that it does not look complete.
-    async fn break_off(self, reason: &str) {
+    /// Aborts the answer so that the caller does not take it as complete.
+    async fn abort(self, reason: &str) {
         self.log_end(reason);
-        let broken = io::Error::new(io::ErrorKind::ConnectionAborted, "stream broke off");
+        let broken = io::Error::new(
+            io::ErrorKind::ConnectionAborted,
+            "the stream ended before it was complete",
+        );
         let _ = self.parts.send(Err(broken)).await;
     }
 
--- a/crates/moleroad_gateway/src/front/waiting.rs
+++ b/crates/moleroad_gateway/src/front/waiting.rs
@@ -1,45 +1,46 @@
-//! How long a request waits for a place at a target: in the hope of its wanted
-//! latency first, then to be served late.
+//! Acquires a place for each send: first within the time in which the target
+//! latency can still be met, then, if worthwhile, to be served late (overdue).
 
 use crate::acquire::{Place, acquire};
 use crate::experiments::Mechanism;
 use crate::front::attempt::Attempts;
 use crate::front::give_up::GiveUp;
-use crate::front::patience;
+use crate::front::silence_timeouts;
 use crate::no_place::{NoPlace, NoPlaceCause};
 use crate::places::Ask;
 use moleroad_dispatch::prelude::WaitClass;
 use moleroad_types::prelude::Millis;
 
-/// Share of the wanted latency for which a request waits for a place.
+/// Share of the target latency that a request may spend waiting for a place.
 const WAIT_SHARE: f64 = 0.22;
-/// Time before a caller leaves that a late answer still needs to begin, in
-/// milliseconds: a prompt is read beside others, and its first event is passed on.
+/// Time that an overdue request needs from its send until the caller receives the
+/// first event, in milliseconds: the engine reads the prompt in parallel with
+/// others, and the first event is forwarded.
 const OVERDUE_ANSWER_MS: u64 = 500;
-/// Rank of requests that a target had begun.
+/// Priority of requests that were already sent to a target.
 const MOST_URGENT: u8 = 0;
-/// Time before the end of a request's time in which it is not sent any more,
-/// in milliseconds.
-pub const LEAST_USEFUL_MS: u64 = 60;
+/// Shortest time before the deadline at which a request is still sent, in
+/// milliseconds.
+pub const MIN_SEND_BUDGET_MS: u64 = 60;
 
 impl Attempts {
-    /// A place for the next send.
+    /// Acquires a place for the next send.
     ///
     /// # Errors
-    /// [`GiveUp`] says why none is made.
+    /// Returns the reason why no further send is made.
     pub(super) async fn next_place(&mut self) -> Result<Place, GiveUp> {
         self.node.catch_up_after_suspension().await;
         let now = self.node.clock.now();
-        if now + LEAST_USEFUL_MS > self.request.until {
-            return Err(GiveUp::TimeOver);
+        if now + MIN_SEND_BUDGET_MS > self.request.until {
+            return Err(GiveUp::DeadlinePassed);
         }
         if self.sends() >= self.request.route.max_attempts.max(1) {
-            return Err(GiveUp::NotAgain);
+            return Err(GiveUp::NoRetry);
         }
         if self.sends.needs_repeat() {
             if !self.take_repeat(now) {
                 self.node.metrics.count("repeat_over_budget");
-                return Err(GiveUp::NotAgain);
+                return Err(GiveUp::NoRetry);
             }
             self.sends.took_repeat();
         }
@@ -48,7 +49,7 @@
         if is_first && self.unreachable == 0 {
             self.node.count_diversions(&ask);
         }
-        let in_time = self.acquire_judged(&ask).await;
+        let in_time = self.acquire_past_quarantine(&ask).await;
         let lacks_room = |no_place: &NoPlace| no_place.cause == NoPlaceCause::Busy;
         let is_about_room = in_time.as_ref().err().is_none_or(lacks_room);
         let rests = |no_place: &NoPlace| no_place.cause == NoPlaceCause::Resting;
@@ -69,8 +70,9 @@
         Ok(place)
     }
 
-    /// A place, also when a hold of the request begins and ends while it waits.
-    async fn acquire_judged(&self, ask: &Ask) -> Result<Place, NoPlace> {
+    /// Acquires a place; tries once more if the request was quarantined while it
+    /// waited and the quarantine was lifted.
+    async fn acquire_past_quarantine(&self, ask: &Ask) -> Result<Place, NoPlace> {
         let first = acquire(&self.node, ask).await;
         if !matches!(&first, Err(no_place) if no_place.cause == NoPlaceCause::Quarantined) {
             return first;
@@ -85,9 +87,9 @@
         acquire(&self.node, ask).await
     }
 
-    /// What the request asks of a place, in the hope of its wanted latency. One
-    /// that a target has begun has cost that target's time: it is urgent, and
-    /// waits as long as its caller does.
+    /// Returns the requirements for a place that meets the target latency. A
+    /// request that was sent before has already used a target's capacity: it gets
+    /// the highest priority and may wait until its deadline.
     pub(super) fn ask(&self) -> Ask {
         let request = &self.request;
         let is_first = self.sends.is_first();
@@ -109,7 +111,7 @@
                 MOST_URGENT
             },
             wanted_by: is_first.then(|| request.arrived + latency_ms),
-            until: until.min(Millis(request.until.0 - LEAST_USEFUL_MS)),
+            until: until.min(Millis(request.until.0 - MIN_SEND_BUDGET_MS)),
             line: WaitClass::InTime,
             residency: self.node.view().residency(&request.residency),
             fingerprint: request.fingerprint,
@@ -117,19 +119,21 @@
         }
     }
 
-    /// How long a request waits for a place in the hope of its wanted latency.
+    /// Returns how long a request waits for a place that meets the target latency,
+    /// in milliseconds.
     fn in_time_wait_ms(&self) -> u64 {
         let waits = self.node.settings.experiments.has(Mechanism::Waiting);
         let share = if waits { WAIT_SHARE } else { 0.0 };
         (self.request.route.target_latency_ms as f64 * share) as u64
     }
 
-    /// Waits for a place to be served late, where one can be expected before
-    /// the caller leaves: a late answer serves the caller better than coming
-    /// back with its time already running.
+    /// Waits for a place to be served late, if one is expected before the caller
+    /// disconnects. A late answer is better for the caller than a refusal, since
+    /// its time already runs when it retries.
     async fn overdue_place(&self, in_time: Ask, no_place: NoPlace) -> Result<Place, GiveUp> {
         let held = self.node.settings.experiments.has(Mechanism::HeldOverdue);
-        let leaves_at = self.request.arrived + patience::caller_ms(&self.request.route);
+        let leaves_at =
+            self.request.arrived + silence_timeouts::caller_timeout_ms(&self.request.route);
         let until = leaves_at.min(self.request.until);
         let last_send = Millis(until.0.saturating_sub(OVERDUE_ANSWER_MS));
         let now = self.node.clock.now();
--- a/crates/moleroad_gateway/src/interface.rs
+++ b/crates/moleroad_gateway/src/interface.rs
@@ -1,8 +1,8 @@
-//! What the outside speaks, as far as this crate needs to know.
+//! Abstraction over the wire formats of a platform.
 //!
-//! [`Interface`] turns the names, formats and calls of callers, targets,
-//! operators and origins into the product's own types and back. It decides
-//! nothing. One implementation belongs to each platform.
+//! [`Interface`] translates the header names, formats and calls of callers,
+//! targets, operators and origins to and from the types of this crate. It contains
+//! no decisions. Each platform has one implementation.
 
 use hyper::Method;
 use hyper::header::{HeaderMap, HeaderName};
@@ -11,70 +11,71 @@
 use moleroad_types::prelude::Millis;
 use std::net::SocketAddr;
 
-/// Names of the headers that carry what this crate must read or set.
+/// Names of the headers that this crate reads or sets.
 #[derive(Clone, Debug)]
 pub struct HeaderNames {
-    /// Identity of the request; answers carry it back.
+    /// Request id, repeated in the answer.
     pub request_id: HeaderName,
-    /// Time that the caller will wait, in milliseconds.
+    /// Time until the deadline, in milliseconds.
     pub deadline_ms: HeaderName,
-    /// Key of the caller.
+    /// API key of the caller.
     pub key: HeaderName,
-    /// Client account, as targets are shown it.
+    /// Client account, set on requests to targets.
     pub account: HeaderName,
-    /// Proof that a target made the answer.
+    /// Signature that proves that a target produced the answer.
     pub signature: HeaderName,
-    /// Identity of the target that the request is for.
+    /// Id of the target that the request is meant for.
     pub expected_target: HeaderName,
-    /// Version of the weights that the request is for.
+    /// Version of the weights that the request is meant for.
     pub expected_version: HeaderName,
-    /// Present when a target did not run a request.
+    /// Set in an answer if the target did not run the request.
     pub not_executed: HeaderName,
-    /// Says in an answer that its target leaves.
+    /// Set in an answer if the target is leaving.
     pub leaving: HeaderName,
-    /// Says in an answer how many requests a second its target takes.
+    /// Rate limit of the target, in requests per second, set in an answer.
     pub limit: HeaderName,
-    /// Last event that a resumed stream has brought.
+    /// Id of the last event received, for resuming a stream.
     pub last_event: HeaderName,
-    /// Model that the request names.
+    /// Model that the request is for.
     pub model: HeaderName,
-    /// Rank at the target.
+    /// Priority of the request at the target.
     pub priority: HeaderName,
 }
 
-/// A call to the system itself.
+/// A call that a daemon answers itself, as opposed to a request for a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ManagementCall {
-    /// Which entry should a caller in `hall` and `region` use for `host`?
+    /// Looks up the entries that a caller in `hall` and `region` should use for
+    /// `host`.
     Addresses {
-        /// Host that its requests name; empty when it is not said.
+        /// Host of the caller's requests; empty if not given.
         host: String,
         /// Data hall of the caller.
         hall: String,
         /// Region of the caller.
         region: String,
     },
-    /// Is this process ready?
+    /// Readiness check.
     Ready,
-    /// A target tells of itself.
+    /// Heartbeat of the target with this id.
     Heartbeat(String),
-    /// A target says that it ends.
+    /// Deregistration of the target with this id.
     Deregister(String),
-    /// An operator sends a configuration.
+    /// Replaces the configuration.
     ReplaceConfiguration,
-    /// An operator reads the configuration.
+    /// Reads the configuration.
     ReadConfiguration,
-    /// An operator names a version of weights.
+    /// Sets the version of a model's weights to be served.
     NameVersion,
-    /// An operator wants a data hall evacuated.
+    /// Evacuates the data hall.
     EvacuateHall(String),
-    /// An operator takes a data hall back.
+    /// Restores an evacuated data hall.
     RestoreHall(String),
-    /// Figures of this process.
+    /// Reads the metrics of this process.
     Metrics,
 }
 
-/// A version of a model that an operator named.
+/// The version of a model that an operator wants served.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NamedVersion {
     /// Name of the model.
@@ -83,66 +84,67 @@
     pub version: u64,
 }
 
-/// What the pieces of a version must hash to.
+/// Expected digests of the pieces of a version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PieceDigests {
     /// Version of the weights.
     pub version: u64,
-    /// SHA-256 of each piece.
+    /// SHA-256 digest of each piece, in order.
     pub digests: Vec<[u8; 32]>,
 }
 
-/// Tokens of a request, as its caller states them.
+/// Token counts of a request, as stated by its caller.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TokenUsage {
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt: u64,
-    /// Most tokens of the answer.
+    /// Maximum number of tokens in the answer.
     pub max_completion: u64,
 }
 
-/// How an engine that takes other weights ends what runs.
+/// How an engine treats running requests when it switches to other weights.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartMode {
-    /// It waits until running requests have ended.
+    /// Waits until running requests have finished.
     WaitForRunning,
-    /// It cuts running requests.
+    /// Aborts running requests.
     AbortRunning,
 }
 
-/// What an agent reads from its engine.
+/// Engine state as read by its agent.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EngineState {
-    /// What others are told of it.
+    /// Report that is shared with other daemons.
     pub report: EngineReport,
-    /// Orders that the engine took.
+    /// Number of orders that the engine has accepted.
     pub accepted_orders: u64,
-    /// Whether an order is under way.
+    /// Whether the engine is executing an order.
     pub busy: bool,
 }
 
-/// A call that this process makes.
+/// An HTTP request from this process to an engine or an origin.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutboundRequest {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path and query.
+    /// Path and query of the request.
     pub path: String,
-    /// Body.
+    /// Request body.
     pub body: Vec<u8>,
-    /// Whether the body is a document and not bytes of weights.
+    /// Whether the body is a document of type [`Interface::document_type`], as
+    /// opposed to raw weights.
     pub is_document: bool,
 }
 
-/// Names, formats and calls of one platform.
+/// Header names, formats and calls of one platform.
 pub trait Interface: Send + Sync + 'static {
-    /// Names of headers.
+    /// Returns the header names.
     fn headers(&self) -> &HeaderNames;
 
-    /// Tokens of a request, if its caller states them.
+    /// Reads the token counts of a request, if its caller states them.
     fn token_usage(&self, headers: &HeaderMap) -> Option<TokenUsage>;
 
-    /// Which call to the system this is.
+    /// Parses a management call; returns `None` if the path is unknown.
     fn management_call(
         &self,
         method: &Method,
@@ -150,52 +152,55 @@
         query: Option<&str>,
     ) -> Option<ManagementCall>;
 
-    /// Content type of documents.
+    /// Returns the content type of documents.
     fn document_type(&self) -> &'static str;
 
-    /// Reads a configuration.
+    /// Parses a configuration.
     ///
     /// # Errors
-    /// [`ConfigurationError::Unreadable`] when it cannot be read whole.
+    /// Returns [`ConfigurationError::Unreadable`] if any part cannot be parsed.
     fn read_configuration(&self, body: &[u8]) -> Result<Configuration, ConfigurationError>;
 
-    /// Reads what the target `id` tells of itself.
+    /// Parses a heartbeat of the target `id`.
     fn read_heartbeat(&self, id: &str, body: &[u8]) -> Option<TargetRecord>;
 
-    /// Answers a heartbeat, naming an address for the next one.
+    /// Serializes the answer to a heartbeat, with the address for the next one.
     fn write_heartbeat_answer(&self, next: Option<SocketAddr>) -> Vec<u8>;
 
-    /// Reads the version that an operator names.
+    /// Parses the version that an operator wants served.
     fn read_named_version(&self, body: &[u8]) -> Option<NamedVersion>;
 
-    /// Names entries to a caller, to be kept for `ttl`.
+    /// Serializes addresses of entries for a caller, which may cache them for `ttl`.
     fn write_addresses(&self, addresses: &[SocketAddr], ttl: Millis) -> Vec<u8>;
 
-    /// Says why a call failed.
+    /// Serializes the reason why a call failed.
     fn write_error(&self, reason: &str) -> Vec<u8>;
 
-    /// Asks an engine for its state.
+    /// Builds a request for the state of an engine.
     fn request_state(&self) -> OutboundRequest;
 
-    /// Reads the state of an engine.
+    /// Parses the state of an engine.
     fn read_state(&self, body: &[u8]) -> Option<EngineState>;
 
-    /// Asks an origin for the digests of a version.
+    /// Builds a request to an origin for the digests of a version.
     fn request_digests(&self, model: &str, version: u64) -> OutboundRequest;
 
-    /// Reads digests.
+    /// Parses the digests of a version.
     fn read_digests(&self, body: &[u8]) -> Option<PieceDigests>;
 
-    /// Asks an origin for a piece.
+    /// Builds a request to an origin for a piece.
     fn request_piece(&self, model: &str, version: u64, piece: u32) -> OutboundRequest;
 
-    /// Puts a piece into the store of an engine.
+    /// Builds a request that writes a piece to the staging area of an engine.
     fn put_staged(&self, model: &str, piece: u32, bytes: Vec<u8>) -> OutboundRequest;
 
-    /// Reads a piece from the store of an engine.
+    /// Builds a request that reads a piece from the staging area of an engine.
     fn get_staged(&self, model: &str, piece: u32) -> OutboundRequest;
 
-    /// Orders an engine to take the weights in its store.
+    /// Builds an order that makes an engine load the staged weights.
+    ///
+    /// `accepted_orders` is the number of orders that the engine had accepted when
+    /// its state was read, for a compare-and-set.
     fn order_start(
         &self,
         model: &str,
--- a/crates/moleroad_gateway/src/lib.rs
+++ b/crates/moleroad_gateway/src/lib.rs
@@ -1,13 +1,14 @@
-//! The programs that meet the outside: the entry, which takes callers'
-//! requests and the calls of operators and targets, and the agent, which
-//! brings weights to one engine.
+//! The daemons that communicate with callers, targets and operators: the entry,
+//! which routes callers' requests and handles calls of operators and targets, the
+//! control daemon, which handles such calls only, and the agent, which transfers
+//! weights to one engine.
 //!
-//! Each is one process with one thread for everything but the disk of the
-//! control group ([`core`]). What is decided lies in the pure crates
+//! Each daemon is one process that runs on one thread, apart from disk access for
+//! the control group ([`control_member`]). The decision logic is in crates without I/O
 //! (`moleroad_config`, `moleroad_directory`, `moleroad_dispatch`,
-//! `moleroad_rollout`, `moleroad_consensus`); this crate does the I/O.
-//! [`run`] is the one place that shows what runs in which role. What the
-//! outside speaks is behind [`interface::Interface`].
+//! `moleroad_rollout`, `moleroad_consensus`); this crate performs the I/O.
+//! [`run`] starts the tasks of each role. [`interface::Interface`] abstracts over
+//! the platform's wire formats.
 #![warn(missing_docs)]
 
 pub mod acquire;
--- a/crates/moleroad_gateway/src/listening.rs
+++ b/crates/moleroad_gateway/src/listening.rs
@@ -1,18 +1,18 @@
-//! Listening at addresses and taking the connections that come.
+//! TCP listeners and their accept loop.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// Connections that may wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const BACKLOG: u32 = 1_024;
-/// Pause after an accept that failed, as when descriptors run out.
+/// Pause after a failed accept, for example when file descriptors run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Listens at `address`.
+/// Opens a listener at `address`.
 ///
 /// # Errors
-/// When the address cannot be taken.
+/// Returns an error if the socket cannot bind to the address.
 pub fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
@@ -20,7 +20,7 @@
     socket.listen(BACKLOG)
 }
 
-/// Serves each connection in a task of its own, until the process ends.
+/// Accepts connections and serves each in its own task, until the process ends.
 pub async fn accept_connections<S>(listener: TcpListener, serve: impl Fn(TcpStream) -> S)
 where
     S: Future<Output = ()> + Send + 'static,
--- a/crates/moleroad_gateway/src/logging.rs
+++ b/crates/moleroad_gateway/src/logging.rs
@@ -1,7 +1,7 @@
 //! Structured log lines on standard output, one JSON object each.
 //!
-//! Lines go through a bounded buffer to one writer thread; when the buffer is
-//! full a line is dropped and counted, so that logging never blocks.
+//! A bounded queue passes the lines to one writer thread. If the queue is full, a line
+//! is dropped and counted, so that logging never blocks.
 
 use crate::clock::Clock;
 use crossbeam::channel::{Receiver, Sender, bounded};
@@ -11,46 +11,46 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// Most lines that wait for the writer.
-const MAX_LINES: usize = 4_096;
-/// Time between writes, in milliseconds.
-const WRITE_EVERY_MS: u64 = 100;
+/// Capacity of the queue to the writer thread, in lines.
+const MAX_QUEUED_LINES: usize = 4_096;
+/// Interval between writes, in milliseconds.
+const WRITE_INTERVAL_MS: u64 = 100;
 
 static DROPPED: AtomicU64 = AtomicU64::new(0);
 static CLOCK: OnceLock<Clock> = OnceLock::new();
 
-/// Number of lines that were dropped since the process began.
+/// Returns the number of lines dropped since the process started.
 pub fn dropped_lines() -> u64 {
     DROPPED.load(Ordering::Relaxed)
 }
 
-/// Starts logging under the name `instance`.
+/// Initializes logging; each line carries the name `instance`.
 pub fn start(instance: &str) {
     CLOCK.get_or_init(Clock::default);
-    let (lines, waiting) = bounded::<Vec<u8>>(MAX_LINES);
+    let (lines, queue) = bounded::<Vec<u8>>(MAX_QUEUED_LINES);
     let writer = std::thread::Builder::new()
         .name("log".into())
         .stack_size(128 << 10);
-    if writer.spawn(move || write_lines(&waiting)).is_err() {
+    if writer.spawn(move || write_lines(&queue)).is_err() {
         return;
     }
     let instance = instance.to_string();
     let started = env_logger::Builder::new()
         .filter_level(log::LevelFilter::Info)
         .filter_module("tarpc", log::LevelFilter::Off)
-        .format(move |buffer, record| writeln!(buffer, "{}", line_of(&instance, record)))
-        .target(env_logger::Target::Pipe(Box::new(Buffer { lines })))
+        .format(move |buffer, record| writeln!(buffer, "{}", format_line(&instance, record)))
+        .target(env_logger::Target::Pipe(Box::new(LineQueue { lines })))
         .try_init();
     if started.is_err() {
-        log::debug!("logging was started before");
+        log::debug!("logging is already initialized");
     }
 }
 
-struct Buffer {
+struct LineQueue {
     lines: Sender<Vec<u8>>,
 }
 
-impl Write for Buffer {
+impl Write for LineQueue {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         if self.lines.try_send(bytes.to_vec()).is_err() {
             DROPPED.fetch_add(1, Ordering::Relaxed);
@@ -63,18 +63,18 @@
     }
 }
 
-fn write_lines(waiting: &Receiver<Vec<u8>>) {
-    while let Ok(first) = waiting.recv() {
-        std::thread::sleep(Duration::from_millis(WRITE_EVERY_MS));
+fn write_lines(queue: &Receiver<Vec<u8>>) {
+    while let Ok(first) = queue.recv() {
+        std::thread::sleep(Duration::from_millis(WRITE_INTERVAL_MS));
         let mut text = first;
-        for line in waiting.try_iter() {
+        for line in queue.try_iter() {
             text.extend_from_slice(&line);
         }
         let _ = std::io::stdout().write_all(&text);
     }
 }
 
-fn line_of(instance: &str, record: &log::Record) -> serde_json::Value {
+fn format_line(instance: &str, record: &log::Record) -> serde_json::Value {
     let mut fields = serde_json::Map::new();
     let up_ms = CLOCK.get().map_or(0, Clock::up_ms);
     fields.insert("up_ms".into(), up_ms.into());
--- a/crates/moleroad_gateway/src/management_api.rs
+++ b/crates/moleroad_gateway/src/management_api.rs
@@ -1,5 +1,5 @@
-//! Calls to the system itself, over HTTP: callers that look for an entry, the
-//! platform's check of readiness, targets and operators.
+//! HTTP API of the daemon itself: lookup of entries by callers, readiness checks and
+//! metrics, and calls of targets and operators.
 
 use crate::control_state::{ConfigDocument, ControlCommand, MAX_DOCUMENT_BYTES};
 use crate::front::answer::AnswerBody;
@@ -22,15 +22,15 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Rest of a connection before it is closed.
-const IDLE: Duration = Duration::from_secs(30);
-/// Time for a document to arrive.
+/// Idle timeout of a connection.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Timeout for reading a request body.
 const READ_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long callers keep an answer of the directory, in milliseconds, where
-/// the platform allows it. Some keep it three times as long.
+/// Time to live of a directory answer, in milliseconds, unless the platform's limit
+/// is shorter. Some callers keep an answer three times as long.
 const ADDRESS_TTL_MS: u64 = 1_000;
 
-/// Takes connections until the process ends.
+/// Accepts and serves connections until the process ends.
 pub async fn serve(node: Arc<Node>, listener: TcpListener) {
     accept_connections(listener, |connection| {
         serve_connection(node.clone(), connection)
@@ -39,15 +39,15 @@
 }
 
 async fn serve_connection(node: Arc<Node>, connection: TcpStream) {
-    let handling = service_fn(|request| handle(node.clone(), request));
+    let service = service_fn(|request| handle(node.clone(), request));
     let served = hyper::server::conn::http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(IDLE)
-        .serve_connection(TokioIo::new(connection), handling);
+        .header_read_timeout(IDLE_TIMEOUT)
+        .serve_connection(TokioIo::new(connection), service);
     let _ = served.await;
 }
 
-/// What a call to the system is answered.
+/// Response to a management call.
 pub(crate) type ManagementResponse = Response<AnswerBody>;
 
 async fn handle(
@@ -75,7 +75,7 @@
         Some(ManagementCall::EvacuateHall(hall)) => order_hall(&node, &hall, true).await,
         Some(ManagementCall::RestoreHall(hall)) => order_hall(&node, &hall, false).await,
         Some(call) => match read(request).await {
-            Some(body) => with_body(&node, call, &body).await,
+            Some(body) => handle_with_body(&node, call, &body).await,
             None => failure(
                 &node,
                 StatusCode::BAD_REQUEST,
@@ -93,7 +93,11 @@
     Some(read.ok()?.ok()?.to_bytes())
 }
 
-async fn with_body(node: &Arc<Node>, call: ManagementCall, body: &Bytes) -> ManagementResponse {
+async fn handle_with_body(
+    node: &Arc<Node>,
+    call: ManagementCall,
+    body: &Bytes,
+) -> ManagementResponse {
     match call {
         ManagementCall::Heartbeat(id) => heartbeat(node, &id, body).await,
         ManagementCall::ReplaceConfiguration => replace_configuration(node, body).await,
@@ -142,8 +146,8 @@
     document(node, StatusCode::OK, body)
 }
 
-/// A daemon of the target's own data hall takes its heartbeats, where there
-/// is one: less crosses between regions.
+/// Returns the address for the next heartbeat of a target. If possible it is a daemon
+/// in the target's own data hall, to reduce traffic between regions.
 fn heartbeat_address(node: &Node, hall: &str) -> Option<std::net::SocketAddr> {
     if node.is_leaving() {
         return None;
@@ -167,7 +171,7 @@
     let checked = parsed.and_then(|configuration| check(&configuration).map(|()| configuration));
     let version = match checked {
         Ok(configuration) => configuration.version,
-        Err(error) => return refused_configuration(node, &error),
+        Err(error) => return reject_configuration(node, &error),
     };
     let command = ControlCommand::Replace(ConfigDocument::new(version, body));
     let committed = operator::commit(node, command).await;
@@ -175,7 +179,7 @@
     acknowledge(node, committed)
 }
 
-fn refused_configuration(node: &Node, error: &ConfigurationError) -> ManagementResponse {
+fn reject_configuration(node: &Node, error: &ConfigurationError) -> ManagementResponse {
     log::info!(event = "configuration_refused"; "{error}");
     failure(node, StatusCode::BAD_REQUEST, &error.to_string())
 }
@@ -237,7 +241,7 @@
     document(node, status, node.interface.write_error(reason))
 }
 
-/// An answer without a type.
+/// Builds a response without a content type.
 pub(crate) fn plain(status: StatusCode, body: Vec<u8>) -> ManagementResponse {
     let mut answer = Response::new(AnswerBody::Whole(Some(Bytes::from(body))));
     *answer.status_mut() = status;
--- a/crates/moleroad_gateway/src/metrics.rs
+++ b/crates/moleroad_gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and latencies of one process.
+//! Prometheus metrics of one process.
 
 use crate::counted_stream::PeerBytes;
 use crate::evacuations::Evacuations;
@@ -8,37 +8,37 @@
     TextEncoder,
 };
 
-/// Bounds of the latency histograms, in seconds.
+/// Upper bounds of the histogram buckets, in seconds.
 const LATENCY_BUCKETS: [f64; 10] = [0.01, 0.03, 0.1, 0.2, 0.3, 0.4, 0.8, 1.5, 3.0, 6.0];
 
-/// Counters and latencies of one process.
+/// Metrics of one process and their registry.
 pub struct Metrics {
     registry: Registry,
-    /// Requests by route name and outcome.
+    /// Requests by HTTP status.
     pub requests: IntCounterVec,
-    /// Requests by whether regions are restricted for them and by outcome.
+    /// Requests by outcome and by whether their regions are restricted.
     pub residency: IntCounterVec,
-    /// Sends to targets by service and outcome.
+    /// Sends to targets by outcome.
     pub sends: IntCounterVec,
-    /// Events by name: reconnects, resumptions, rejected bytes and the like.
+    /// Events by name, such as reconnects, stream resumptions and rejected bytes.
     pub events: IntCounterVec,
     /// Time to the first byte of an answer, in seconds.
     pub first_byte_s: Histogram,
-    /// Time that requests waited for a place, in seconds.
+    /// Time from the arrival of a request to its first place at a target, in seconds.
     pub wait_s: Histogram,
-    /// Data halls that are evacuated.
+    /// Number of evacuated data halls.
     pub halls_evacuated: IntGauge,
     /// Revision of each data hall that was ever evacuated.
     pub hall_revision: IntGaugeVec,
-    /// Age of news of a data hall when it came here, in seconds.
+    /// Age of an update about a data hall when it arrived here, in seconds.
     pub hall_update_age_s: Histogram,
-    /// Requests kept away from targets of evacuated data halls, by hall.
+    /// Requests that were not sent to a data hall because it is evacuated, by hall.
     pub kept_away: IntCounterVec,
-    /// Greetings of other daemons, by what was asked and whether it was answered.
+    /// Gossip exchanges with other daemons, by kind of peer asked and outcome.
     pub greetings: IntCounterVec,
-    /// Records that this daemon told others or was told, by what they are of.
+    /// Records sent to or received from other daemons, by direction and kind.
     pub told: IntCounterVec,
-    /// Records that this daemon holds, by what they are of.
+    /// Records held by this daemon, by kind.
     pub records: IntGaugeVec,
     peer_bytes: IntCounterVec,
 }
@@ -46,11 +46,11 @@
 impl Default for Metrics {
     fn default() -> Self {
         let counters = |name: &str, help: &str, labels: &[&str]| {
-            IntCounterVec::new(Opts::new(name, help), labels).expect("a sound metric")
+            IntCounterVec::new(Opts::new(name, help), labels).expect("the metric options are valid")
         };
         let latency = |name: &str, help: &str| {
             let options = HistogramOpts::new(name, help).buckets(LATENCY_BUCKETS.to_vec());
-            Histogram::with_opts(options).expect("a sound metric")
+            Histogram::with_opts(options).expect("the metric options are valid")
         };
         let metrics = Self {
             registry: Registry::new(),
@@ -69,12 +69,12 @@
             first_byte_s: latency("moleroad_first_byte_seconds", "Time to the first byte"),
             wait_s: latency("moleroad_wait_seconds", "Time waited for a place"),
             halls_evacuated: IntGauge::new("moleroad_halls_evacuated", "Data halls evacuated")
-                .expect("a sound metric"),
+                .expect("the metric options are valid"),
             hall_revision: IntGaugeVec::new(
                 Opts::new("moleroad_hall_revision", "Changes of a data hall"),
                 &["hall"],
             )
-            .expect("a sound metric"),
+            .expect("the metric options are valid"),
             hall_update_age_s: latency("moleroad_hall_news_seconds", "Age of news of a data hall"),
             kept_away: counters(
                 "moleroad_kept_away_total",
@@ -95,7 +95,7 @@
                 Opts::new("moleroad_records", "Records of daemons and targets held"),
                 &["kind"],
             )
-            .expect("a sound metric"),
+            .expect("the metric options are valid"),
             peer_bytes: counters(
                 "moleroad_peer_bytes_total",
                 "Bytes between this daemon and others",
@@ -126,7 +126,9 @@
             Box::new(self.peer_bytes.clone()),
         ];
         for collector in all {
-            self.registry.register(collector).expect("a new name");
+            self.registry
+                .register(collector)
+                .expect("metric names are unique");
         }
     }
 
@@ -135,7 +137,7 @@
         self.events.with_label_values(&[event]).inc();
     }
 
-    /// Counts the bytes of a connection to another daemon.
+    /// Returns the counters for bytes exchanged with other daemons.
     pub fn peer_bytes(&self) -> PeerBytes {
         let counter = |direction| self.peer_bytes.with_label_values(&[direction]);
         PeerBytes {
@@ -144,20 +146,19 @@
         }
     }
 
-    /// Counts the records of an answer that this daemon gave (`sent`) or got
-    /// (`received`).
-    pub fn count_exchanged_records(&self, direction: &str, news: &News) {
+    /// Counts the records of an answer; `direction` is `sent` or `received`.
+    pub fn count_exchanged_records(&self, direction: &str, delta: &News) {
         for (kind, count) in [
-            ("daemon", news.daemons.len()),
-            ("load", news.loads.len()),
-            ("target", news.targets.len()),
+            ("daemon", delta.daemons.len()),
+            ("load", delta.loads.len()),
+            ("target", delta.targets.len()),
         ] {
             let counter = self.told.with_label_values(&[direction, kind]);
             counter.inc_by(count as u64);
         }
     }
 
-    /// Shows how many records this daemon holds.
+    /// Sets the gauges for the number of records that this daemon holds.
     pub fn set_record_gauges(&self, directory: &Directory) {
         for (kind, count) in [
             ("daemon", directory.daemon_count()),
@@ -167,7 +168,7 @@
         }
     }
 
-    /// Shows which data halls are evacuated.
+    /// Sets the gauges for evacuated data halls and their revisions.
     pub fn set_hall_gauges(&self, evacuations: &Evacuations) {
         let evacuated = evacuations.iter().filter(|(_, state)| state.evacuated);
         self.halls_evacuated.set(evacuated.count() as i64);
@@ -177,7 +178,7 @@
         }
     }
 
-    /// All figures as text.
+    /// Returns all metrics in the Prometheus text format.
     pub fn render(&self) -> Vec<u8> {
         let mut text = Vec::new();
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut text);
--- a/crates/moleroad_gateway/src/operator.rs
+++ b/crates/moleroad_gateway/src/operator.rs
@@ -1,5 +1,5 @@
-//! Changes that operators want, and reads of what is in force: carried to the
-//! leader of the control group from whichever daemon was asked.
+//! Forwards changes by operators, and reads of the control state, from any daemon
+//! to the leader of the control group.
 
 use crate::control_member::Committed;
 use crate::control_state::{ControlCommand, ControlState, DocumentId};
@@ -13,75 +13,82 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time in which an operator wants an answer; it then asks another daemon.
-const ANSWER_MS: u64 = 850;
-/// Time for one call to a daemon that may lead.
-const CALL_MS: u64 = 500;
-/// Pause before a leader is looked for again.
-const LOOK_AGAIN_MS: u64 = 60;
+/// Timeout for a call by an operator, in milliseconds; operators wait 1 s and then
+/// try another daemon.
+const ANSWER_TIMEOUT_MS: u64 = 850;
+/// Timeout for one call to a daemon that may be the leader, in milliseconds.
+const CALL_TIMEOUT_MS: u64 = 500;
+/// Pause before the leader is looked up again, in milliseconds.
+const RETRY_PAUSE_MS: u64 = 60;
 
-/// Brings a change to the leader; true once it, or a later one of its kind, is durable
-/// and applied here.
+/// Commits a change through the leader. Returns true once this change, or a later
+/// one of the same kind, is durable and applied on this daemon.
 pub async fn commit(node: &Arc<Node>, command: ControlCommand) -> bool {
-    let until = node.clock.now() + ANSWER_MS;
-    let answer = order(node, &command, until).await;
+    let until = node.clock.now() + ANSWER_TIMEOUT_MS;
+    let answer = propose_with_retries(node, &command, until).await;
     if node.has_applied(&command) {
         return true;
     }
     let CommitAnswer::Committed(decided) = answer else {
         return false;
     };
-    if !is_decided(&command, decided) {
-        // Only the group has the bytes of the document that was decided.
+    if !was_committed(&command, decided) {
+        // Another document was committed; its bytes must be read from the group.
         return read_until(node, until).await.is_some() && node.has_applied(&command);
     }
-    // What is durable is in force here before it is acknowledged.
+    // A durable change is applied here before it is acknowledged.
     let mut state = ControlState::default();
     state.apply(&command);
     node.take_state(&state, Source::Answer);
     true
 }
 
-/// Whether the change itself is what was decided, where `decided` is the configuration
-/// that is in force with it. A document that came second under its version, or with an
-/// older one, changed nothing. The other changes are the same whoever brings them.
-fn is_decided(command: &ControlCommand, decided: Option<DocumentId>) -> bool {
+/// Returns whether the change itself was committed; `decided` is the configuration in
+/// force after the commit. A configuration has no effect if another document with the
+/// same or a newer version was committed first. Other changes have the same content
+/// regardless of who proposes them.
+fn was_committed(command: &ControlCommand, decided: Option<DocumentId>) -> bool {
     match command {
         ControlCommand::Replace(document) => decided == Some(document.id()),
         _ => true,
     }
 }
 
-/// Brings an order for a hall to the leader, and puts what it came to in force
-/// here; `None` when that is not known in time.
+/// Commits an order for a data hall through the leader and applies the result on this
+/// daemon. Returns `None` if the result is not known in time.
 pub async fn order_hall(node: &Arc<Node>, wanted: HallOrder) -> Option<HallOrderResult> {
     let hall = wanted.hall.clone();
     let command = ControlCommand::OrderHall(wanted);
-    let until = node.clock.now() + ANSWER_MS;
-    let CommitAnswer::Hall(verdict) = order(node, &command, until).await else {
+    let until = node.clock.now() + ANSWER_TIMEOUT_MS;
+    let CommitAnswer::Hall(verdict) = propose_with_retries(node, &command, until).await else {
         return None;
     };
-    let news = HallUpdate {
+    let update = HallUpdate {
         state: verdict.state,
         age_ms: 0,
     };
-    node.take_halls(&HallUpdates::from([(hall, news)]), Source::Answer);
+    node.take_halls(&HallUpdates::from([(hall, update)]), Source::Answer);
     Some(verdict)
 }
 
-/// Asks for the trial of a request; true once it is certain that this copy was
-/// granted.
+/// Requests a trial of a quarantined request. Returns true only if it is certain that
+/// the trial was granted to this copy of the request.
 pub async fn request_trial(node: &Arc<Node>, wanted: TrialOrder) -> bool {
-    // Whether it was granted to this copy or to another, the leader tells.
-    let until = node.clock.now() + ANSWER_MS;
-    order(node, &ControlCommand::TryRequest(wanted.clone()), until).await;
+    // The commit does not tell which copy was granted the trial: read that from the
+    // leader.
+    let until = node.clock.now() + ANSWER_TIMEOUT_MS;
+    propose_with_retries(node, &ControlCommand::TryRequest(wanted.clone()), until).await;
     let state = read(node).await;
     state.is_some_and(|state| state.reviews.is_granted(&wanted))
 }
 
-/// Proposes a change at whoever leads, until it is decided, is in force here, or time is
-/// over.
-async fn order(node: &Arc<Node>, command: &ControlCommand, until: Millis) -> CommitAnswer {
+/// Proposes a change to the current leader, with retries, until it is decided, is in
+/// force on this daemon, or `until` has passed.
+async fn propose_with_retries(
+    node: &Arc<Node>,
+    command: &ControlCommand,
+    until: Millis,
+) -> CommitAnswer {
     let mut next = None;
     loop {
         if node.has_applied(command) {
@@ -93,7 +100,7 @@
         }
         let leader = next.take().or_else(|| node.leader_hint());
         let answer = match leader {
-            Some(hint) => propose_at(node, hint.address, command, left.min(CALL_MS)).await,
+            Some(hint) => propose_at(node, hint.address, command, left.min(CALL_TIMEOUT_MS)).await,
             None => CommitAnswer::NotLeader(None),
         };
         match answer {
@@ -103,7 +110,8 @@
                     pause(left).await;
                 }
             }
-            // It changes nothing a second time, and only the log tells.
+            // A hall order is idempotent, and only the log has its result: propose it
+            // again.
             CommitAnswer::Unknown if matches!(command, ControlCommand::OrderHall(_)) => {
                 pause(left).await;
             }
@@ -136,7 +144,7 @@
     }
 }
 
-/// Proposes a change at the member of this process.
+/// Proposes a change to the control group member in this process.
 pub async fn propose_locally(node: &Node, command: ControlCommand) -> CommitAnswer {
     let Some(core) = &node.core else {
         return CommitAnswer::NotLeader(node.leader_hint());
@@ -149,9 +157,10 @@
     }
 }
 
-/// What is in force now; `None` when that is not certain.
+/// Reads the current control state from the leader. Returns `None` if no leader
+/// confirms it in time.
 pub async fn read(node: &Arc<Node>) -> Option<ControlState> {
-    let until = node.clock.now() + ANSWER_MS;
+    let until = node.clock.now() + ANSWER_TIMEOUT_MS;
     read_until(node, until).await
 }
 
@@ -164,7 +173,7 @@
         }
         let leader: Option<LeaderHint> = next.take().or_else(|| node.leader_hint());
         let answer = match leader {
-            Some(hint) => read_at(node, hint.address, left.min(CALL_MS)).await,
+            Some(hint) => read_at(node, hint.address, left.min(CALL_TIMEOUT_MS)).await,
             None => Err(None),
         };
         match answer {
@@ -198,10 +207,11 @@
         .unwrap_or(Err(None))
 }
 
-/// What is in force now, if the member of this process leads under a lease.
+/// Returns the current control state if the member in this process is the leader and
+/// holds a lease.
 ///
 /// # Errors
-/// The leader as far as it is known.
+/// Returns the current leader, if known.
 pub async fn read_locally(node: &Node) -> Result<ControlState, Option<LeaderHint>> {
     let Some(core) = &node.core else {
         return Err(node.leader_hint());
@@ -213,6 +223,6 @@
 }
 
 async fn pause(left_ms: u64) {
-    let pause = Millis(left_ms.min(LOOK_AGAIN_MS));
+    let pause = Millis(left_ms.min(RETRY_PAUSE_MS));
     tokio::time::sleep(Duration::from_millis(pause.0)).await;
 }
--- a/crates/moleroad_gateway/src/run.rs
+++ b/crates/moleroad_gateway/src/run.rs
@@ -1,4 +1,4 @@
-//! What runs in each role: the one place that shows it.
+//! Starts and stops the tasks of each role.
 
 use crate::agent;
 use crate::clock::Clock;
@@ -28,28 +28,32 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::mpsc;
 
-/// Time for a message of the control group to arrive.
+/// Timeout for sending a message of the control group.
 const MESSAGE_TIMEOUT: Duration = Duration::from_millis(800);
-/// Time for what is in force to arrive at another entry.
+/// Timeout for pushing the control state to another entry.
 const PUSH_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Time between looks at what expires.
-const HOUSEKEEPING: Duration = Duration::from_millis(50);
-/// Time over which demand is measured, in milliseconds.
-const DEMAND_SPAN_MS: u64 = 500;
-/// How much of the time to stop is left when requests are no longer begun.
-const LAST_PART_OF_GRACE: u64 = 4;
-/// How much of the time to stop is left when the process ends in any case.
-const END_BEFORE_MS: u64 = 250;
-/// Callers keep an address three times its time to live, and a little longer.
-const ADDRESS_KEPT_MS: u64 = 3_400;
-/// Time in which a control daemon that stops answers the calls under way, in
-/// milliseconds: operators and targets wait a second for an answer.
-const CALLS_ANSWERED_MS: u64 = 1_000;
+/// Interval between housekeeping passes.
+const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(50);
+/// Window over which demand is measured, in milliseconds.
+const DEMAND_WINDOW_MS: u64 = 500;
+/// New requests are rejected in the last 1/4 of the shutdown grace period.
+const GRACE_FINAL_DIVISOR: u64 = 4;
+/// Time before the end of the shutdown grace period at which the process exits even if
+/// requests are in flight, in milliseconds.
+const EXIT_MARGIN_MS: u64 = 250;
+/// Time for which callers may still use the address of an entry that shuts down, in
+/// milliseconds: three times the time to live of a directory answer (1 s), plus a
+/// margin.
+const ADDRESS_CACHE_MS: u64 = 3_400;
+/// Time for which a control daemon that shuts down still answers calls, in
+/// milliseconds: operators and targets wait 1 s for an answer.
+const CALL_DRAIN_MS: u64 = 1_000;
 
-/// Runs the process until it is asked to stop.
+/// Runs the process until it receives a signal to stop.
 ///
 /// # Errors
-/// When an address cannot be taken or the data folder cannot be used.
+/// Returns an error if a listener cannot bind to its address or the data folder is
+/// unusable.
 pub async fn run(
     settings: Settings,
     settings_path: PathBuf,
@@ -60,7 +64,7 @@
     let hangups = signal(SignalKind::hangup())?;
     let clock = Clock::default();
     let (output, outputs) = mpsc::unbounded_channel();
-    let core = start_core(&settings, clock, output)?;
+    let core = start_control_member(&settings, clock, output)?;
     let node = Arc::new(Node::new(settings, clock, interface, core));
     node.update_own_record();
     log::info!(
@@ -84,7 +88,7 @@
         _ = stop.recv() => {}
         _ = interrupt.recv() => {}
     }
-    leave(&node).await;
+    shut_down(&node).await;
     Ok(())
 }
 
@@ -96,12 +100,12 @@
         tokio::spawn(front::serve::serve(node.clone(), listen(address)?));
     }
     start_control(node, outputs)?;
-    tokio::spawn(keep_house(node.clone()));
+    tokio::spawn(run_housekeeping(node.clone()));
     Ok(())
 }
 
-/// Takes the calls of targets, operators and the platform, and does what the
-/// member of the control group asks for, where there is one.
+/// Starts the management API, and the task that handles the outputs of the control
+/// group member, if this process has one.
 fn start_control(
     node: &Arc<Node>,
     outputs: mpsc::UnboundedReceiver<MemberOutput>,
@@ -117,11 +121,11 @@
     for address in addresses {
         tokio::spawn(management_api::serve(node.clone(), listen(address)?));
     }
-    tokio::spawn(carry_out(node.clone(), outputs));
+    tokio::spawn(handle_member_outputs(node.clone(), outputs));
     Ok(())
 }
 
-fn start_core(
+fn start_control_member(
     settings: &Settings,
     clock: Clock,
     output: mpsc::UnboundedSender<MemberOutput>,
@@ -131,18 +135,19 @@
     };
     let own = settings.peer_address();
     let seeds = settings.seed_peers();
-    let founds = settings.found_group && seeds.contains(&own);
+    let is_founder = settings.found_group && seeds.contains(&own);
     let core = MemberSettings {
         folder: folder.clone(),
-        fresh: if founds {
-            founding_id(own)
+        fresh: if is_founder {
+            founding_member_id(own)
         } else {
             MemberId(rand::random())
         },
-        // A disk that is lost comes back empty at the same address.
+        // Identifies the instance by its address, which stays the same if the disk is
+        // lost and replaced by an empty one.
         instance: own.to_string(),
         address: own,
-        founding: founds.then(|| founding(&seeds)),
+        founding: is_founder.then(|| founding_configuration(&seeds)),
         tolerated_losses: settings.tolerated_losses,
     };
     ControlMember::start(core, clock, output)
@@ -150,23 +155,29 @@
         .map_err(std::io::Error::other)
 }
 
-/// The founding members: the seeds, which all members of a first start know.
-fn founding(seeds: &[SocketAddr]) -> Configuration {
-    let member =
-        |seed: &SocketAddr| MemberInfo::new(founding_id(*seed), seed.to_string().as_str(), *seed);
+/// Returns the configuration of a new control group: its voters are the seeds, which
+/// all founding members know.
+fn founding_configuration(seeds: &[SocketAddr]) -> Configuration {
+    let member = |seed: &SocketAddr| {
+        MemberInfo::new(founding_member_id(*seed), seed.to_string().as_str(), *seed)
+    };
     Configuration::of_voters(seeds.iter().map(member))
 }
 
-/// The identity of a founding member, which all others can work out.
-fn founding_id(address: SocketAddr) -> MemberId {
+/// Derives the id of a founding member from its address, so that all other founding
+/// members compute the same id.
+fn founding_member_id(address: SocketAddr) -> MemberId {
     let mut hasher = DefaultHasher::new();
     "founding member".hash(&mut hasher);
     address.hash(&mut hasher);
     MemberId(hasher.finish())
 }
 
-/// Carries out what the member of the control group asks for.
-async fn carry_out(node: Arc<Node>, mut outputs: mpsc::UnboundedReceiver<MemberOutput>) {
+/// Handles the outputs of the control group member.
+async fn handle_member_outputs(
+    node: Arc<Node>,
+    mut outputs: mpsc::UnboundedReceiver<MemberOutput>,
+) {
     let mut pushed = ControlState::default();
     while let Some(output) = outputs.recv().await {
         match output {
@@ -207,9 +218,9 @@
     let _ = node.peers.call(to.address, MESSAGE_TIMEOUT, call).await;
 }
 
-/// Brings what is in force to some relays of all data halls at once, if it is not
-/// what was brought last; the other entries learn of it when they ask their relays,
-/// and these when they ask each other.
+/// Pushes the control state to a few relays in every data hall if it changed since the
+/// last push. The other entries fetch it from their relays, and the other relays from
+/// each other.
 fn push(node: &Arc<Node>, state: &ControlState, pushed: &mut ControlState) {
     if state == pushed {
         return;
@@ -222,12 +233,12 @@
         if !is_leader {
             return;
         }
-        let mut news = state.clone();
-        if news.config_version() == pushed.config_version() {
-            news.configuration = None;
+        let mut changes = state.clone();
+        if changes.config_version() == pushed.config_version() {
+            changes.configuration = None;
         }
         *pushed = state.clone();
-        (news, relays_of_all_halls(&view, node.clock.now()))
+        (changes, relays_of_all_halls(&view, node.clock.now()))
     };
     for address in relays {
         let (node, state) = (node.clone(), state.clone());
@@ -250,10 +261,10 @@
     others.map(|relay| relay.peer).collect()
 }
 
-async fn keep_house(node: Arc<Node>) {
+async fn run_housekeeping(node: Arc<Node>) {
     let mut measured_at = node.clock.now();
     loop {
-        tokio::time::sleep(HOUSEKEEPING).await;
+        tokio::time::sleep(HOUSEKEEPING_INTERVAL).await;
         let now = node.clock.now();
         {
             let mut view = node.view();
@@ -262,7 +273,7 @@
             view.refresh_candidates(now, &node.settings);
         }
         let span_ms = now.since(measured_at);
-        if span_ms >= DEMAND_SPAN_MS {
+        if span_ms >= DEMAND_WINDOW_MS {
             measured_at = now;
             node.measure_demand(span_ms);
         }
@@ -273,8 +284,7 @@
     }
 }
 
-/// Reads the settings again when told to; what cannot change in a running
-/// process is said.
+/// Reloads the settings on SIGHUP. Only the seeds change in a running process.
 async fn reload(node: Arc<Node>, mut hangups: tokio::signal::unix::Signal, path: PathBuf) {
     while hangups.recv().await.is_some() {
         match Settings::load(&path) {
@@ -288,9 +298,10 @@
     }
 }
 
-/// Stops without cutting a request: no new callers at once, no new requests
-/// after a while, the end when nothing is in flight or time is over.
-async fn leave(node: &Arc<Node>) {
+/// Shuts down gracefully: marks this process as leaving at once so that callers go
+/// elsewhere, rejects new requests in the last part of the grace period, and returns
+/// when nothing is in flight or the grace period is over.
+async fn shut_down(node: &Arc<Node>) {
     let started = node.clock.now();
     log::info!(event = "stop_begins"; "");
     node.leave();
@@ -298,22 +309,22 @@
         core.tell(MemberInput::Retire);
     }
     let grace_ms = node.settings.bounds.grace_ms;
-    let no_more_at = grace_ms - grace_ms / LAST_PART_OF_GRACE;
-    let settled_at = match node.settings.role {
-        RoleSetting::Entry => ADDRESS_KEPT_MS.min(no_more_at),
-        RoleSetting::Control => CALLS_ANSWERED_MS,
+    let reject_after = grace_ms - grace_ms / GRACE_FINAL_DIVISOR;
+    let exit_if_idle_after = match node.settings.role {
+        RoleSetting::Entry => ADDRESS_CACHE_MS.min(reject_after),
+        RoleSetting::Control => CALL_DRAIN_MS,
         RoleSetting::Agent => 0,
     };
     loop {
         let elapsed = node.clock.now().since(started);
-        if elapsed >= no_more_at {
+        if elapsed >= reject_after {
             node.end();
         }
         let idle = node.in_flight.load(Ordering::Relaxed) == 0;
-        if (idle && elapsed >= settled_at) || elapsed + END_BEFORE_MS >= grace_ms {
+        if (idle && elapsed >= exit_if_idle_after) || elapsed + EXIT_MARGIN_MS >= grace_ms {
             break;
         }
-        tokio::time::sleep(HOUSEKEEPING).await;
+        tokio::time::sleep(HOUSEKEEPING_INTERVAL).await;
     }
     let in_flight = node.in_flight.load(Ordering::Relaxed);
     log::info!(event = "stop", in_flight = in_flight as u64; "");
--- a/crates/moleroad_gateway/tests/support/mod.rs
+++ b/crates/moleroad_gateway/tests/support/mod.rs
@@ -1,10 +1,10 @@
-//! An entry without a network, for tests of what it decides. Each test file uses
-//! a part of it.
+//! Builds entries without callers and targets, for tests of their decisions. Each test
+//! file uses only some of these functions.
 
 #![allow(dead_code)]
 
-mod outside;
 mod service;
+mod stub_interface;
 
 use hyper::Method;
 use hyper::header::HeaderMap;
@@ -26,15 +26,15 @@
 use moleroad_gateway::settings::Settings;
 use moleroad_quarantine::prelude::RequestFingerprint;
 use moleroad_types::prelude::*;
-use outside::nobody;
 use service::plain_service;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::time::Duration;
+use stub_interface::stub_interface;
 use tokio::sync::mpsc;
 
-/// The service of all requests.
+/// Service used by all test requests.
 pub const SERVICE: &str = "plain";
 
 fn settings(name: &str, peer_port: u16) -> Settings {
@@ -44,7 +44,7 @@
     Settings::parse(&text).unwrap()
 }
 
-/// An account, found by its name as key, that allows region `r` alone.
+/// Returns an account that allows only region `r`; its key is its name.
 fn restricted_account() -> ClientAccount {
     ClientAccount {
         name: "restricted".into(),
@@ -54,15 +54,15 @@
     }
 }
 
-/// An entry without a disk that knows one target with one place, `i-a` in
-/// `hall-a` of region `r`.
+/// Returns an entry without a disk and with one target, `i-a` in `hall-a` of region
+/// `r`, which has one place.
 pub fn entry() -> Arc<Node> {
     let clock = Clock::default();
     let settings = settings("e", 1);
-    knowing_one_target(Node::new(settings, clock, nobody(), None))
+    with_one_target(Node::new(settings, clock, stub_interface(), None))
 }
 
-/// A folder for a disk, empty at first.
+/// Creates an empty folder that serves as a disk.
 pub fn folder(name: &str) -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     let _ = std::fs::remove_dir_all(&folder);
@@ -70,7 +70,7 @@
     folder
 }
 
-/// An entry with a disk, which founds the control group when that is empty.
+/// Returns an entry with a disk; it founds the control group if the disk is empty.
 pub fn entry_with_disk(folder: &Path) -> Arc<Node> {
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
     let clock = Clock::default();
@@ -86,10 +86,10 @@
     let (output, _) = mpsc::unbounded_channel();
     let core = ControlMember::start(core, clock, output).unwrap();
     let settings = settings("e", 1);
-    knowing_one_target(Node::new(settings, clock, nobody(), Some(core)))
+    with_one_target(Node::new(settings, clock, stub_interface(), Some(core)))
 }
 
-/// The only member of a control group, which takes calls of other daemons.
+/// Returns the only member of a control group; it serves calls of other daemons.
 pub fn leader(name: &str) -> Arc<Node> {
     let listener = listen(SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
     let address = listener.local_addr().unwrap();
@@ -106,14 +106,14 @@
     let (output, _) = mpsc::unbounded_channel();
     let core = ControlMember::start(core, clock, output).unwrap();
     let settings = settings(name, address.port());
-    let node = Arc::new(Node::new(settings, clock, nobody(), Some(core)));
+    let node = Arc::new(Node::new(settings, clock, stub_interface(), Some(core)));
     tokio::spawn(peer_server::serve(node.clone(), listener));
     node
 }
 
-/// An entry without a disk that knows who leads, and nothing else.
+/// Returns an entry without a disk that knows only the address of the leader.
 pub fn follower_of(leader: &Node, name: &str) -> Arc<Node> {
-    let node = Node::new(settings(name, 1), Clock::default(), nobody(), None);
+    let node = Node::new(settings(name, 1), Clock::default(), stub_interface(), None);
     node.view().update_leader(Some(LeaderHint {
         term: 1,
         address: leader.settings.peer_address(),
@@ -121,7 +121,7 @@
     Arc::new(node)
 }
 
-/// An entry whose disk holds what an earlier life left there.
+/// Returns an entry that was restarted with the disk of an earlier process.
 pub async fn restarted_entry(name: &str) -> Arc<Node> {
     let folder = folder(name);
     let earlier = entry_with_disk(&folder);
@@ -133,11 +133,17 @@
     entry_with_disk(&folder)
 }
 
-/// Another entry, which answers greetings and has a configuration in force.
+/// Returns another entry, which has a configuration in force and answers calls of other
+/// daemons.
 pub fn entry_with_configuration() -> Arc<Node> {
     let listener = listen(SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
     let settings = settings("other", listener.local_addr().unwrap().port());
-    let node = Arc::new(Node::new(settings, Clock::default(), nobody(), None));
+    let node = Arc::new(Node::new(
+        settings,
+        Clock::default(),
+        stub_interface(),
+        None,
+    ));
     let state = ControlState {
         configuration: Some(ConfigDocument::new(ConfigVersion(1), b"")),
         ..ControlState::default()
@@ -147,7 +153,7 @@
     node
 }
 
-fn knowing_one_target(node: Node) -> Arc<Node> {
+fn with_one_target(node: Node) -> Arc<Node> {
     let now = node.clock.now();
     let configuration = Configuration {
         services: vec![plain_service()],
@@ -169,7 +175,7 @@
     Arc::new(node)
 }
 
-/// Lets the entry hear of a target with one place, in region `r`.
+/// Adds a target with one place in region `r` to the entry's directory.
 pub fn add_target(node: &Node, id: &str, hall: &str, address: SocketAddr) {
     let target = TargetRecord {
         id: TargetId::new(id),
@@ -190,7 +196,8 @@
     view.refresh_candidates(now, &node.settings);
 }
 
-/// A request that waits for up to ten seconds, of the account with this key.
+/// Returns the place requirements of a request that waits for up to 10 s, sent with
+/// this API key.
 pub fn ask(node: &Node, key: Option<&str>) -> Ask {
     let table = node.view().table.clone().unwrap();
     let until = node.clock.now() + 10_000;
@@ -210,7 +217,7 @@
     }
 }
 
-/// Lets the entry learn that a hall is evacuated.
+/// Applies an update to the entry that evacuates a hall.
 pub fn evacuate(node: &Node, hall: &str) {
     let state = HallState {
         revision: HallRevision(1),
@@ -220,14 +227,15 @@
     node.take_halls(&news, Source::Push);
 }
 
-/// Requests of this entry that hold a place at a target.
+/// Returns the number of this entry's requests that hold a place at a target.
 pub fn in_flight(node: &Node, id: &str) -> u32 {
     let view = node.view();
     let targets = &view.services[SERVICE].targets;
     targets.load(&TargetId::new(id)).own()
 }
 
-/// A request that must be answered within `ms`, and may run once.
+/// Returns a request that must be answered within `ms` milliseconds and must not be
+/// retried once it may have run.
 pub fn request(node: &Node, ms: u64) -> Accepted {
     let ask = ask(node, None);
     let arrived = node.clock.now();
@@ -249,7 +257,7 @@
     };
     Accepted {
         method: Method::POST,
-        target: "/".into(),
+        path_and_query: "/".into(),
         headers: HeaderMap::new(),
         body: Default::default(),
         id: "request".try_into().unwrap(),
@@ -258,7 +266,7 @@
         config_version: 0,
         priority: 1,
         arrived,
-        caller_until: None,
+        caller_deadline: None,
         until: arrived + ms,
         prompt_tokens: 0,
         residency: ask.residency,
--- a/crates/moleroad_gateway/tests/support/service.rs
+++ b/crates/moleroad_gateway/tests/support/service.rs
@@ -1,8 +1,8 @@
-//! A service for tests.
+//! Service configuration for tests.
 
 use moleroad_config::prelude::Service;
 
-/// The service `plain`, whose targets are no engines.
+/// Returns the service `plain`, whose targets are not engines.
 pub fn plain_service() -> Service {
     Service {
         name: "plain".into(),
--- a/crates/moleroad_gateway/tests/support/outside.rs
+++ b/crates/moleroad_gateway/tests/support/stub_interface.rs
@@ -1,4 +1,4 @@
-//! An outside that says nothing, for tests without one.
+//! A stub of the platform interface, for tests that exchange no messages with it.
 
 use hyper::Method;
 use hyper::header::{HeaderMap, HeaderName};
@@ -9,14 +9,14 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-struct Nobody {
+struct StubInterface {
     headers: HeaderNames,
 }
 
-/// An outside that nobody speaks to.
-pub fn nobody() -> Arc<dyn Interface> {
+/// Returns an interface that recognizes no calls.
+pub fn stub_interface() -> Arc<dyn Interface> {
     let name = HeaderName::from_static;
-    Arc::new(Nobody {
+    Arc::new(StubInterface {
         headers: HeaderNames {
             request_id: name("x-request"),
             deadline_ms: name("x-deadline"),
@@ -35,7 +35,7 @@
     })
 }
 
-impl Interface for Nobody {
+impl Interface for StubInterface {
     fn headers(&self) -> &HeaderNames {
         &self.headers
     }
