--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -1,5 +1,5 @@
-//! Bad input gets a numbered code, ends a process with a status other than 0,
-//! and loses nothing.
+//! Invalid input is answered with a result code, ends a process with a non-zero status,
+//! and destroys no data.
 
 use moleroad_fakes::caller::{caller_get, caller_post};
 use moleroad_fakes::deployment::{OPERATOR_KEY, account_key};
@@ -14,10 +14,10 @@
 const DAEMON: &str = env!("CARGO_BIN_EXE_moleroadd");
 const CLIENT: &str = env!("CARGO_BIN_EXE_moleroad");
 
-/// A folder that is removed at the end of its test.
-struct Scratch(PathBuf);
+/// A temporary folder that is removed at the end of the test.
+struct TempFolder(PathBuf);
 
-impl Scratch {
+impl TempFolder {
     fn new() -> Self {
         let folder =
             std::env::temp_dir().join(format!("moleroad-test-{:016x}", rand::random::<u64>()));
@@ -32,7 +32,7 @@
     }
 }
 
-impl Drop for Scratch {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -62,18 +62,26 @@
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
-fn free() -> SocketAddr {
+fn free_address() -> SocketAddr {
     moleroad_fakes::address::free_port(AddressPool::new().next_ip())
 }
 
 #[test]
 fn check_accepts_sound_settings_and_refuses_an_unknown_key() {
-    let scratch = Scratch::new();
-    let text = control_settings(&scratch.0.join("state"), "entry-1", free(), free());
-    let sound = run_daemon(&scratch.write("sound.yaml", &text), &["--check"]);
+    let temp = TempFolder::new();
+    let text = control_settings(
+        &temp.0.join("state"),
+        "entry-1",
+        free_address(),
+        free_address(),
+    );
+    let sound = run_daemon(&temp.write("sound.yaml", &text), &["--check"]);
     assert!(sound.status.success(), "{}", stderr_of(&sound));
-    assert!(!scratch.0.join("state").exists(), "a check touches nothing");
-    let faulty = scratch.write("faulty.yaml", &text.replace("region:", "regoin:"));
+    assert!(
+        !temp.0.join("state").exists(),
+        "--check must not create files"
+    );
+    let faulty = temp.write("faulty.yaml", &text.replace("region:", "regoin:"));
     let output = run_daemon(&faulty, &["--check"]);
     assert_eq!(output.status.code(), Some(2));
     let error = stderr_of(&output);
@@ -92,17 +100,17 @@
 
 #[test]
 fn an_address_in_use_ends_the_process() {
-    let scratch = Scratch::new();
-    // Taken at once: a port that is only looked up could be held a moment
-    // longer by a process that another test is just starting.
+    let temp = TempFolder::new();
+    // The port is bound right away: a port that is only looked up could be taken by a
+    // process that another test is starting.
     let taken = TcpListener::bind((AddressPool::new().next_ip(), 0)).unwrap();
     let text = control_settings(
-        &scratch.0.join("state"),
+        &temp.0.join("state"),
         "entry-1",
         taken.local_addr().unwrap(),
-        free(),
+        free_address(),
     );
-    let output = run_daemon(&scratch.write("entry.yaml", &text), &[]);
+    let output = run_daemon(&temp.write("entry.yaml", &text), &[]);
     assert_eq!(output.status.code(), Some(1));
     assert!(
         stderr_of(&output).contains("MR-1003"),
@@ -113,10 +121,15 @@
 
 #[test]
 fn a_data_folder_that_cannot_be_written_ends_the_process() {
-    let scratch = Scratch::new();
-    let file = scratch.write("a-file", "not a folder");
-    let text = control_settings(&file.join("state"), "entry-1", free(), free());
-    let output = run_daemon(&scratch.write("entry.yaml", &text), &[]);
+    let temp = TempFolder::new();
+    let file = temp.write("a-file", "not a folder");
+    let text = control_settings(
+        &file.join("state"),
+        "entry-1",
+        free_address(),
+        free_address(),
+    );
+    let output = run_daemon(&temp.write("entry.yaml", &text), &[]);
     assert_eq!(output.status.code(), Some(1));
     assert!(
         stderr_of(&output).contains("MR-1004"),
@@ -127,21 +140,21 @@
 
 #[test]
 fn a_data_folder_in_use_or_of_another_member_ends_the_process() {
-    let scratch = Scratch::new();
-    let folder = scratch.0.join("state");
-    let first = scratch.write(
+    let temp = TempFolder::new();
+    let folder = temp.0.join("state");
+    let first = temp.write(
         "first.yaml",
-        &control_settings(&folder, "entry-1", free(), free()),
+        &control_settings(&folder, "entry-1", free_address(), free_address()),
     );
     let arguments = vec!["--settings".to_string(), first.display().to_string()];
     let mut running =
-        Process::start(Path::new(DAEMON), arguments, scratch.0.join("first.log")).unwrap();
+        Process::start(Path::new(DAEMON), arguments, temp.0.join("first.log")).unwrap();
     until("the first daemon to start", || {
         running.printed().contains("started").then_some(())
     });
-    let second = scratch.write(
+    let second = temp.write(
         "second.yaml",
-        &control_settings(&folder, "entry-2", free(), free()),
+        &control_settings(&folder, "entry-2", free_address(), free_address()),
     );
     let in_use = run_daemon(&second, &[]);
     assert_eq!(in_use.status.code(), Some(1));
@@ -162,17 +175,17 @@
     assert_eq!(
         std::fs::read(folder.join("identity")).unwrap(),
         identity,
-        "nothing is lost"
+        "the data folder must stay unchanged"
     );
 }
 
 #[test]
 fn a_damaged_log_ends_the_process_and_stays_as_it_is() {
-    let scratch = Scratch::new();
-    let folder = scratch.0.join("state");
-    let settings = scratch.write(
+    let temp = TempFolder::new();
+    let folder = temp.0.join("state");
+    let settings = temp.write(
         "entry.yaml",
-        &control_settings(&folder, "entry-1", free(), free()),
+        &control_settings(&folder, "entry-1", free_address(), free_address()),
     );
     std::fs::create_dir_all(&folder).unwrap();
     std::fs::write(folder.join("identity"), b"no identity").unwrap();
@@ -189,8 +202,8 @@
     );
 }
 
-/// Sends raw bytes and returns what comes back until the other side closes.
-fn raw(entry: SocketAddr, bytes: &[u8]) -> String {
+/// Sends raw bytes and returns the response until the peer closes the connection.
+fn send_raw(entry: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(entry).unwrap();
     stream.set_read_timeout(Some(GENEROUS)).unwrap();
     stream.write_all(bytes).unwrap();
@@ -216,7 +229,7 @@
     let entry = deployment.entry(0);
     let key = account_key("pallets");
     let none = BTreeMap::new();
-    until("the account to be known", || {
+    until("the entry to receive the account", || {
         let answer = caller_get(entry, "/v1/services/depot-api/slots", &key);
         (answer.status == 200).then_some(())
     });
@@ -255,23 +268,24 @@
     let no_path = caller_get(entry, "/v2/nothing", &key);
     assert_eq!(code(no_path), (404, "MR-2004".into()));
 
-    let malformed = raw(entry, b"NO SUCH REQUEST LINE AT ALL\r\n\r\n");
+    let malformed = send_raw(entry, b"NO SUCH REQUEST LINE AT ALL\r\n\r\n");
     assert!(malformed.starts_with("HTTP/1.1 400"), "{malformed}");
     let early_end = |length: usize| {
         let head = "POST /v1/services/depot-api/notes HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer";
-        raw(
+        send_raw(
             entry,
             format!("{head} {key}\r\nContent-Length: {length}\r\n\r\nshort").as_bytes(),
         )
     };
     let answer = early_end(5_000);
     assert!(answer.contains("MR-2001"), "{answer}");
-    // The HTTP library reads short bodies itself and closes when one breaks off.
+    // The HTTP library reads short bodies itself and closes the connection if one ends
+    // early.
     assert_eq!(early_end(50), "");
     let runs = caller_get(deployment.target("depot-api-0"), "/runs", "").json();
     assert!(
         runs.get("short").is_none(),
-        "a broken request reaches no target: {runs}"
+        "an incomplete request must not reach a target: {runs}"
     );
 
     let after = caller_get(entry, "/v1/services/depot-api/slots", &key);
@@ -288,7 +302,7 @@
         ..DeploymentShape::small()
     };
     let deployment = Deployment::start(shape).unwrap();
-    let scratch = Scratch::new();
+    let temp = TempFolder::new();
     let client = |key: &str, arguments: &[&str]| {
         let mut command = Command::new(CLIENT);
         command
@@ -304,7 +318,7 @@
         stderr_of(&wrong_key)
     );
 
-    let misspelt = scratch.write(
+    let misspelt = temp.write(
         "misspelt.yaml",
         "name: engine-1\nversion: 1\nspec:\n  instance:\n    label: {}\n",
     );
@@ -319,7 +333,7 @@
         "{error}"
     );
 
-    let bad_selector = scratch.write(
+    let bad_selector = temp.write(
         "selector.yaml",
         "name: s\nversion: 1\nspec:\n  selector:\n    account: a\n    weights: []\n    instances: []\n    replicas: all\n",
     );
@@ -335,6 +349,6 @@
     assert_eq!(
         deployment.client().objects().unwrap(),
         Vec::<Object>::new(),
-        "nothing was taken"
+        "no object may be stored"
     );
 }
--- a/tests/documents.rs
+++ b/tests/documents.rs
@@ -1,4 +1,4 @@
-//! The documents agree with the code.
+//! Checks that the documentation is consistent with the code.
 
 use moleroad_settings::prelude::*;
 use moleroad_types::prelude::*;
@@ -52,7 +52,9 @@
         let (_, after) = source
             .split_once(&format!("struct {name} {{"))
             .expect("the settings type");
-        let (fields, _) = after.split_once("\n}").expect("its end");
+        let (fields, _) = after
+            .split_once("\n}")
+            .expect("the end of the settings type");
         let keys = fields
             .lines()
             .map(str::trim)
@@ -68,7 +70,7 @@
             count += 1;
         }
     }
-    assert!(count > 30, "the settings were found");
+    assert!(count > 30, "the settings types must be found in the source");
 }
 
 #[test]
@@ -104,7 +106,7 @@
     assert_eq!(
         rows,
         ResultCode::ALL.len(),
-        "the table has a row that is no code"
+        "the table has a row without a result code"
     );
 }
 
@@ -147,7 +149,7 @@
         );
         count += 1;
     }
-    assert!(count > 10, "docs/PROOFS.md names its tests");
+    assert!(count > 10, "docs/PROOFS.md must name tests");
 }
 
 #[test]
--- a/tests/request_pressure.rs
+++ b/tests/request_pressure.rs
@@ -1,4 +1,4 @@
-//! Callers under load, planned stops, hostile callers and floods, with real processes.
+//! Requests under load: planned stops, hostile callers and floods, on real processes.
 
 mod support;
 
@@ -16,21 +16,21 @@
 use std::time::Duration;
 use support::*;
 
-/// Callers that ask for streams through the entries that are listed, as the
-/// interface asks them to, and count what was cut.
-struct Load {
+/// Callers that request streams through the listed entries, as the API documents it, and
+/// collect failed responses.
+struct LoadGenerator {
     stop: Arc<AtomicBool>,
     answered: Arc<AtomicU64>,
     threads: Vec<thread::JoinHandle<Vec<CallerAnswer>>>,
 }
 
-impl Load {
+impl LoadGenerator {
     fn start(listing: SocketAddr, root: RootDigest, callers: usize) -> Self {
         let (stop, answered): (Arc<AtomicBool>, Arc<AtomicU64>) = Default::default();
         let threads = (0..callers).map(|number| {
             let (stop, answered) = (Arc::clone(&stop), Arc::clone(&answered));
             thread::spawn(move || {
-                let mut bad = Vec::new();
+                let mut failed = Vec::new();
                 while !stop.load(Ordering::Acquire) {
                     let listed = caller_get(listing, "/v1/entries", "").json();
                     let entries = listed["entries"].as_array().cloned().unwrap_or_default();
@@ -40,14 +40,14 @@
                     let Some(Ok(address)) = entry["address"].as_str().map(str::parse) else {
                         continue;
                     };
-                    let answer = ask(address, 8);
+                    let answer = request_stream(address, 8);
                     if answer.is_stream_of(root, 8) {
                         answered.fetch_add(1, Ordering::AcqRel);
                     } else {
-                        bad.push(answer);
+                        failed.push(answer);
                     }
                 }
-                bad
+                failed
             })
         });
         Self {
@@ -61,15 +61,15 @@
         self.answered.load(Ordering::Acquire)
     }
 
-    /// Waits for more answers.
-    fn wait_more(&self) {
+    /// Waits for more than 40 further complete responses.
+    fn wait_for_more(&self) {
         let before = self.answered();
-        until("more answers", || {
+        until("more responses", || {
             (self.answered() > before + 40).then_some(())
         });
     }
 
-    /// Ends the load and returns the answers that were not whole.
+    /// Stops the load and returns the responses that were not complete.
     fn stop(self) -> Vec<CallerAnswer> {
         self.stop.store(true, Ordering::Release);
         self.threads
@@ -86,41 +86,41 @@
         entries: 4,
         ..shape()
     });
-    let load = Load::start(deployment.entry(0), root, 8);
-    load.wait_more();
-    // An agent, an entry, and a control member that is an entry too.
+    let load = LoadGenerator::start(deployment.entry(0), root, 8);
+    load.wait_for_more();
+    // An agent, an entry that is no control member, and an entry that is one.
     for name in ["engine-1", "entry-3", "entry-2"] {
         deployment.process(name).signal(Signal::Terminate);
         let status = until("the process to end by itself", || {
             deployment.process(name).exit_status()
         });
         assert!(status.success(), "{name}: {status}");
-        load.wait_more();
+        load.wait_for_more();
     }
-    let bad = load.stop();
+    let failed = load.stop();
     assert!(
-        bad.is_empty(),
-        "{} of the answers: {:?}",
-        bad.len(),
-        bad.first()
+        failed.is_empty(),
+        "{} failed responses, the first: {:?}",
+        failed.len(),
+        failed.first()
     );
 }
 
 #[test]
 fn a_target_listed_as_leaving_gets_no_new_work() {
     let (deployment, root) = start(shape());
-    let load = Load::start(deployment.entry(0), root, 4);
-    load.wait_more();
+    let load = LoadGenerator::start(deployment.entry(0), root, 4);
+    load.wait_for_more();
     deployment.list_leaving(&["engine-0"]).unwrap();
     until("the route to be withdrawn", || {
         let before = started_counts(&deployment);
-        load.wait_more();
+        load.wait_for_more();
         let after = started_counts(&deployment);
         (after["engine-0"] == before["engine-0"] && after["engine-1"] > before["engine-1"])
             .then_some(())
     });
-    let bad = load.stop();
-    assert!(bad.is_empty(), "{:?}", bad.first());
+    let failed = load.stop();
+    assert!(failed.is_empty(), "{:?}", failed.first());
 }
 
 #[test]
@@ -128,7 +128,7 @@
     let (deployment, root) = start(shape());
     let entry = deployment.entry(0);
     let key = account_key("labs");
-    // Half-open connections and bodies that never come.
+    // Connections with incomplete heads and bodies that never arrive.
     let mut open = Vec::new();
     for number in 0..200 {
         let mut stream = TcpStream::connect(entry).unwrap();
@@ -156,13 +156,13 @@
     });
     let mut served = 0;
     for _ in 0..30 {
-        let answer = ask(entry, 4);
+        let answer = request_stream(entry, 4);
         assert!(answer.is_stream_of(root, 4), "{answer:?}");
         served += 1;
     }
     assert_eq!(served, 30);
     flood.join().unwrap();
-    // Another account's key and another account's model reach nothing.
+    // A key of one account grants no access to the model of another.
     let foreign = caller_post(
         entry,
         "/v1/completions",
@@ -202,7 +202,7 @@
     assert_eq!(
         (held.status, &held.body),
         (not_held.status, &not_held.body),
-        "a refusal reveals nothing"
+        "the rejection must not reveal whether chunks are held"
     );
 }
 
@@ -227,7 +227,7 @@
                     if answer.code.as_deref() == Some("MR-2006") {
                         assert!(
                             answer.retry_after.is_some(),
-                            "a refusal says when to come back"
+                            "the rejection must contain Retry-After"
                         );
                         refused.fetch_add(1, Ordering::AcqRel);
                     }
@@ -235,12 +235,12 @@
             })
         })
         .collect();
-    until("the flood to be refused", || {
+    until("the flood to be rejected", || {
         (refused.load(Ordering::Acquire) > 20).then_some(())
     });
     for _ in 0..20 {
-        assert!(ask(entry, 4).is_stream_of(root, 4));
-        assert_eq!(read_slots(entry).status, 200);
+        assert!(request_stream(entry, 4).is_stream_of(root, 4));
+        assert_eq!(send_read(entry).status, 200);
     }
     stop.store(true, Ordering::Release);
     flood.into_iter().for_each(|thread| thread.join().unwrap());
@@ -256,8 +256,8 @@
     for name in ["entry-0", "entry-1", "entry-2"] {
         deployment.process(name).signal(Signal::Stop);
     }
-    let refused = until("the entry to refuse", || {
-        let answer = ask(entry, 1);
+    let refused = until("the entry to reject requests", || {
+        let answer = request_stream(entry, 1);
         (answer.status != 200).then_some(answer)
     });
     assert_eq!(
@@ -270,7 +270,7 @@
         deployment.process(name).signal(Signal::Continue);
     }
     until("the entry to serve again", || {
-        ask(entry, 2).is_stream_of(root, 2).then_some(())
+        request_stream(entry, 2).is_stream_of(root, 2).then_some(())
     });
 }
 
@@ -284,15 +284,15 @@
         ..shape()
     });
     let entry = deployment.entry(0);
-    // How long such a request takes is known from the first one.
-    assert_eq!(ask(entry, 50).status, 200);
-    // Ten requests of a second each wait for one place.
+    // The first request provides the estimate of the service time.
+    assert_eq!(request_stream(entry, 50).status, 200);
+    // Ten requests of one second each wait for a single slot.
     let waiting: Vec<_> = (0..10)
-        .map(|_| thread::spawn(move || ask(entry, 50)))
+        .map(|_| thread::spawn(move || request_stream(entry, 50)))
         .collect();
     let headers = BTreeMap::from([("X-Deadline-Ms", "2000".to_string())]);
     let body = r#"{"model":"notes","prompt":"x","stream":true,"max_tokens":50}"#;
-    let answer = until("a refusal for the deadline", || {
+    let answer = until("a rejection because of the deadline", || {
         let answer = caller_post(
             entry,
             "/v1/completions",
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A deployment of the older programs whose engines and services callers use.
+//! Shared helpers of the tests with a deployment of engines and services.
 
 #![allow(dead_code)]
 
@@ -11,10 +11,10 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Path of a service's bookings.
+/// Path of the bookings of the service.
 pub const BOOKINGS: &str = "/v1/services/depot-api/bookings";
 
-/// Two engines and one service of two targets.
+/// Returns a shape with two engines and one service of two targets.
 pub fn shape() -> DeploymentShape {
     DeploymentShape {
         engines: 2,
@@ -23,7 +23,7 @@
     }
 }
 
-/// A deployment in which both engines serve `pallets/notes`.
+/// Starts a deployment in which all engines serve `pallets/notes`.
 pub fn start(shape: DeploymentShape) -> (Deployment, RootDigest) {
     let engines = shape.engines as u32;
     let mut deployment = Deployment::start(shape).unwrap();
@@ -51,18 +51,18 @@
         .unwrap();
     deployment.wait_serving("notes", root, engines);
     for (_, entry) in deployment.entries() {
-        until("the entry to know routes", || {
-            (engines == 0 || ask(*entry, 1).status == 200).then_some(())
+        until("the entry to receive routes", || {
+            (engines == 0 || request_stream(*entry, 1).status == 200).then_some(())
         });
-        until("the entry to know services", || {
-            (read_slots(*entry).status == 200).then_some(())
+        until("the entry to receive services", || {
+            (send_read(*entry).status == 200).then_some(())
         });
     }
     (deployment, root)
 }
 
-/// A read that may be repeated.
-pub fn read_slots(entry: SocketAddr) -> CallerAnswer {
+/// Sends a read, which is repeatable.
+pub fn send_read(entry: SocketAddr) -> CallerAnswer {
     caller_get(
         entry,
         "/v1/services/depot-api/slots",
@@ -70,8 +70,8 @@
     )
 }
 
-/// A stream of so many tokens.
-pub fn ask(entry: SocketAddr, tokens: u64) -> CallerAnswer {
+/// Requests a stream of `tokens` tokens.
+pub fn request_stream(entry: SocketAddr, tokens: u64) -> CallerAnswer {
     let body =
         format!("{{\"model\":\"notes\",\"prompt\":\"x\",\"stream\":true,\"max_tokens\":{tokens}}}");
     caller_post(
@@ -83,13 +83,13 @@
     )
 }
 
-/// A booking, which may run once.
-pub fn book(entry: SocketAddr, key: &str, body: &str) -> CallerAnswer {
+/// Sends a booking, which may run at most once.
+pub fn send_booking(entry: SocketAddr, key: &str, body: &str) -> CallerAnswer {
     let headers = BTreeMap::from([("Idempotency-Key", key.to_string())]);
     caller_post(entry, BOOKINGS, &account_key("pallets"), &headers, body)
 }
 
-/// How often each body ran, over both services.
+/// Returns how often each body ran, summed over both targets of the service.
 pub fn runs(deployment: &Deployment) -> BTreeMap<String, u64> {
     let mut total = BTreeMap::new();
     for service in ["depot-api-0", "depot-api-1"] {
@@ -101,7 +101,7 @@
     total
 }
 
-/// The engine on which a request began to run.
+/// Returns the engine that has started a request since `before`.
 pub fn busy_engine(deployment: &Deployment, before: &BTreeMap<String, u64>) -> String {
     until("a request to begin", || {
         let started = started_counts(deployment);
@@ -112,7 +112,7 @@
     })
 }
 
-/// How many requests each engine began.
+/// Returns the number of requests that each engine has started.
 pub fn started_counts(deployment: &Deployment) -> BTreeMap<String, u64> {
     let names = ["engine-0", "engine-1"];
     let count = |name: &&str| {
