--- a/crates/moleroad_config/src/configuration.rs
+++ b/crates/moleroad_config/src/configuration.rs
@@ -1,10 +1,10 @@
-//! The plain data of one configuration.
+//! Data types of a configuration.
 
 use moleroad_types::prelude::AllowedRegions;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Version of a configuration; the highest one holds.
+/// Version of a configuration; the highest one takes effect.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -20,7 +20,7 @@
     AtMostOnce,
 }
 
-/// One service that shares a route, and its share.
+/// A service of a route and its weight.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WeightedService {
     /// Name of the service.
@@ -29,120 +29,125 @@
     pub weight: u64,
 }
 
-/// One route: which requests go to which services, and how.
+/// A route: selects requests by host and path prefix, and defines which
+/// services they go to and how.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// Name, for logs.
+    /// Name used in logs.
     pub name: String,
-    /// Host that the request names.
+    /// Host of the requests.
     pub host: String,
-    /// Beginning of the path.
+    /// Prefix of the request path.
     pub prefix: String,
-    /// Services that requests go to.
+    /// Services of the route, with their weights.
     pub weighted_services: Vec<WeightedService>,
-    /// Whether a request may run again.
+    /// Whether a request may run more than once.
     pub repeatability: Repeatability,
-    /// Whether the answer is a stream of events.
+    /// Whether the response is a stream of events.
     pub streaming: bool,
-    /// Whether a stream may go on at another target.
+    /// Whether an interrupted stream may resume at another target.
     pub resumable: bool,
-    /// Longest time for which a request is held, in milliseconds.
+    /// Maximum time that a request is held, in milliseconds.
     pub timeout_ms: u64,
-    /// Time within which an answer is wanted, in milliseconds.
+    /// Latency objective for a response, in milliseconds.
     pub target_latency_ms: u64,
-    /// Longest pause between events that is wanted, in milliseconds; 0 unset.
+    /// Objective for the longest pause between events of a stream, in
+    /// milliseconds; 0 if unset.
     pub target_pause_ms: u64,
-    /// Most targets that one request may be sent to.
+    /// Maximum number of targets that one request may be sent to.
     pub max_attempts: u32,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
     /// Whether requests need no key.
     pub public: bool,
-    /// Regions in which its requests may be served.
+    /// Regions in which requests of the route may be served.
     pub allowed_regions: AllowedRegions,
 }
 
-/// Time an engine takes for its steps, as published by its operator.
+/// Performance model of an engine, as published by its operator.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct StepModel {
-    /// One token step, in milliseconds.
+    /// Duration of one token step, in milliseconds.
     pub step_ms: f64,
-    /// More for each request that is writing, in milliseconds.
+    /// Additional step duration for each request that is generating output, in
+    /// milliseconds.
     pub per_request_ms: f64,
-    /// Prompt tokens read in a second.
+    /// Prompt tokens processed per second.
     pub prompt_tokens_per_s: f64,
-    /// Token steps in one pass.
+    /// Token steps per pass.
     pub steps_per_pass: u64,
-    /// Most prompt tokens read in one pass; 0 unset.
+    /// Maximum number of prompt tokens processed per pass; 0 if unset.
     pub tokens_per_pass: u64,
-    /// Usual prompt, in tokens.
+    /// Typical prompt length, in tokens.
     pub usual_prompt: f64,
-    /// Usual answer, in tokens.
+    /// Typical output length, in tokens.
     pub usual_answer: f64,
 }
 
-/// A model as an engine service lists it.
+/// A model served by an engine service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineModel {
     /// Name of the model.
     pub name: String,
-    /// Layers that make up the model.
+    /// Number of layers of the model.
     pub layers: u32,
-    /// Pieces that its weights come in.
+    /// Number of pieces that the weights are divided into.
     pub pieces: u32,
     /// Size of a piece, in bytes.
     pub piece_bytes: u64,
 }
 
-/// A service that serves weights and takes no requests.
+/// A service that serves weights and accepts no requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OriginService {
     /// Address that serves manifests and pieces.
     pub address: SocketAddr,
-    /// Rate of its link, in Mbit/s.
+    /// Bandwidth of its link, in Mbit/s.
     pub link_mbps: f64,
 }
 
-/// How many requests a target takes while it is cold.
+/// Rate limit for requests to a target while it is cold.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdStart {
-    /// How long a target is cold after its start, in milliseconds.
+    /// Time after its start during which a target is cold, in milliseconds.
     pub lasts_ms: u64,
-    /// Requests that a cold target takes in a second.
+    /// Requests per second that a cold target accepts.
     pub requests_per_s: f64,
 }
 
-/// One service.
+/// A service that routes can refer to, or an origin of weights.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Name.
+    /// Name of the service.
     pub name: String,
-    /// Most connections that one target takes from all callers; 0 unset.
+    /// Maximum number of connections that one target accepts from all callers;
+    /// 0 if unset.
     pub max_connections: u32,
-    /// Requests one target works on at once; 0 when targets tell it.
+    /// Requests that one target processes concurrently; 0 if the targets report
+    /// it.
     pub slots: u32,
     /// Models that its engines run; empty for plain services.
     pub models: Vec<EngineModel>,
-    /// How fast its engines are; only for engines.
+    /// Performance model of its engines; only for engine services.
     pub steps: Option<StepModel>,
-    /// Where it serves weights, if it is an origin.
+    /// Address and link of the service, if it is an origin.
     pub origin: Option<OriginService>,
-    /// Data hall of an origin.
+    /// Data hall of the origin.
     pub hall: Option<String>,
-    /// Bound on its targets while they are cold; `None` without one.
+    /// Rate limit for its targets while they are cold, if any.
     pub cold_start: Option<ColdStart>,
 }
 
-/// Bounds on what a caller may send.
+/// Limits on the requests of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Most bytes of a request head.
+    /// Maximum size of a request head, in bytes.
     pub max_header_bytes: usize,
-    /// Most bytes of a body.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// Longest time to send a request, in milliseconds.
+    /// Timeout for receiving a request, in milliseconds.
     pub header_timeout_ms: u64,
-    /// Longest rest of a kept connection, in milliseconds.
+    /// Idle timeout of a keep-alive connection, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
@@ -157,31 +162,31 @@
     }
 }
 
-/// One client account and the keys that name it.
+/// A client account and the keys that identify it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClientAccount {
-    /// Name that targets are shown.
+    /// Name that is sent to targets.
     pub name: String,
-    /// Keys that callers send.
+    /// Keys that callers of the account send.
     pub keys: Vec<String>,
-    /// Rank that goes before the route's.
+    /// Priority that overrides the route's.
     pub priority: Option<u8>,
-    /// Regions in which its requests may be served; what the route allows binds
-    /// as well.
+    /// Regions in which requests of the account may be served, further
+    /// restricted by the regions of the route.
     pub allowed_regions: AllowedRegions,
 }
 
-/// One whole configuration.
+/// A complete configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Configuration {
-    /// Version; versions climb.
+    /// Version; each new configuration has a higher one.
     pub version: ConfigVersion,
     /// Routes.
     pub routes: Vec<Route>,
     /// Services.
     pub services: Vec<Service>,
-    /// Bounds on what callers send.
+    /// Limits on the requests of callers.
     pub limits: Limits,
-    /// Client accounts; without any, no request needs a key.
+    /// Client accounts; if empty, no request needs a key.
     pub accounts: Vec<ClientAccount>,
 }
--- a/crates/moleroad_config/src/lib.rs
+++ b/crates/moleroad_config/src/lib.rs
@@ -1,10 +1,10 @@
-//! Whole configurations: the routes, services, client accounts and limits
-//! that an operator sends as one document with one version.
+//! Configurations: the routes, services, client accounts and limits that an
+//! operator submits as one versioned document.
 //!
 //! [`Configuration`](configuration::Configuration) is plain data.
-//! [`check`](check::check) refuses what may never be in force, and
-//! [`RouteTable`](route_table::RouteTable) is the form that requests are
-//! looked up in. [`Residency`](residency::Residency) says in which regions a
+//! [`check`](check::check) validates it, and
+//! [`RouteTable`](route_table::RouteTable) is its compiled form for request
+//! lookups. [`Residency`](residency::Residency) holds the regions in which a
 //! request may be served.
 //!
 //! ```
@@ -22,7 +22,7 @@
 pub mod residency;
 pub mod route_table;
 
-/// The types most users of the crate need.
+/// Commonly used types of the crate.
 pub mod prelude {
     pub use crate::check::{ConfigurationError, check};
     pub use crate::configuration::{
--- a/crates/moleroad_config/src/residency.rs
+++ b/crates/moleroad_config/src/residency.rs
@@ -1,4 +1,5 @@
-//! Where requests may be served, by whichever configuration is in force.
+//! Data residency: the regions in which requests may be served under the
+//! current configuration.
 
 use crate::configuration::{ClientAccount, ConfigVersion, Route};
 use crate::route_table::RouteTable;
@@ -7,22 +8,22 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// What the route and the account of a request are found by.
+/// Properties of a request that select its route and account.
 #[derive(Debug)]
-struct FoundBy {
+struct RequestLookup {
     host: String,
     path: String,
     key: Option<String>,
 }
 
-/// Where one request may be served: in the regions that its route and its
-/// account both allow.
+/// Regions in which a request may be served: those that both its route and its
+/// account allow.
 ///
-/// A request may outlive the configuration that it was accepted under;
-/// [`Residency::under`] says what holds under another one.
+/// A request may outlive the configuration under which it was accepted; it can
+/// be evaluated again under a later one.
 #[derive(Clone, Debug)]
 pub struct Residency {
-    found_by: Arc<FoundBy>,
+    lookup: Arc<RequestLookup>,
     version: ConfigVersion,
     route: AllowedRegions,
     account: AllowedRegions,
@@ -30,39 +31,39 @@
 }
 
 impl Residency {
-    /// Looks up a request for `host` and `path` that is sent with `key`.
+    /// Evaluates a request for `host` and `path` that carries `key`.
     pub fn new(table: &RouteTable, host: &str, path: &str, key: Option<&str>) -> Self {
-        let found_by = FoundBy {
+        let lookup = RequestLookup {
             host: host.to_string(),
             path: path.to_string(),
             key: key.map(str::to_string),
         };
         let all = AllowedRegions::all();
-        Self::look_up(Arc::new(found_by), table, &all, &all)
+        Self::resolve(Arc::new(lookup), table, &all, &all)
     }
 
-    /// The same request under another configuration. A route or an account that
-    /// is not there any more binds by what it allowed last.
+    /// Evaluates the request under the configuration of `table`. A route or
+    /// account that no longer exists keeps its last restriction.
     pub fn under(&self, table: &RouteTable) -> Self {
         if table.version() == self.version {
             return self.clone();
         }
-        Self::look_up(self.found_by.clone(), table, &self.route, &self.account)
+        Self::resolve(self.lookup.clone(), table, &self.route, &self.account)
     }
 
-    fn look_up(
-        found_by: Arc<FoundBy>,
+    fn resolve(
+        lookup: Arc<RequestLookup>,
         table: &RouteTable,
         last_route: &AllowedRegions,
         last_account: &AllowedRegions,
     ) -> Self {
-        let route = table.find(&found_by.host, &found_by.path);
+        let route = table.find(&lookup.host, &lookup.path);
         let route = route.map_or(last_route, |route| &route.allowed_regions);
-        let key = found_by.key.as_deref();
+        let key = lookup.key.as_deref();
         let account = key.and_then(|key| table.account_of(key));
         let account = account.map_or(last_account, |account| &account.allowed_regions);
         Self {
-            found_by,
+            lookup,
             version: table.version(),
             route: route.clone(),
             account: account.clone(),
@@ -70,26 +71,27 @@
         }
     }
 
-    /// The regions in which the request may be served.
+    /// Returns the regions in which the request may be served.
     pub fn allowed(&self) -> &AllowedRegions {
         &self.allowed
     }
 
-    /// Version of the configuration that says so.
+    /// Returns the version of the evaluated configuration.
     pub fn version(&self) -> ConfigVersion {
         self.version
     }
 }
 
-/// A configuration that names regions to no use. It is valid: what it forbids
-/// is refused request by request.
+/// Doubtful regions in a configuration. The configuration is valid
+/// nevertheless: requests that cannot be served under it are rejected one by
+/// one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ResidencyWarning {
-    /// A region in which no data hall stands.
+    /// A region without a data hall.
     UnknownRegion {
         /// The region.
         region: Region,
-        /// The first route or account that names it.
+        /// The first route or account that refers to it.
         named_by: String,
     },
     /// A route and an account that allow no common region.
@@ -120,16 +122,17 @@
     }
 }
 
-/// What is doubtful about the regions of a configuration, where data halls
-/// stand in the `known` regions, or anywhere while none is known: at most one
-/// warning for each region, and one for each two sets without a common region.
+/// Returns the warnings about the regions of a configuration. `known` holds the
+/// regions with data halls; if it is empty, no region is reported as unknown.
+/// There is at most one warning for each region, and one for each pair of
+/// region sets without a common region.
 pub fn residency_warnings(table: &RouteTable, known: &BTreeSet<Region>) -> Vec<ResidencyWarning> {
-    let routes = first_of_each_set(table.routes().map(|route| of_route(route)));
-    let accounts = first_of_each_set(table.accounts().map(|account| of_account(account)));
+    let routes = first_name_of_each_set(table.routes().map(|route| route_regions(route)));
+    let accounts = first_name_of_each_set(table.accounts().map(|account| account_regions(account)));
     let mut warnings = unknown_regions(&routes, &accounts, known);
-    for (by_route, route) in &routes {
-        for (by_account, account) in &accounts {
-            if by_route.and(by_account).is_none() {
+    for (route_allowed, route) in &routes {
+        for (account_allowed, account) in &accounts {
+            if route_allowed.and(account_allowed).is_none() {
                 warnings.push(ResidencyWarning::NoCommonRegion {
                     route: route.clone(),
                     account: account.clone(),
@@ -140,16 +143,17 @@
     warnings
 }
 
-fn of_route(route: &Route) -> (AllowedRegions, String) {
+fn route_regions(route: &Route) -> (AllowedRegions, String) {
     (route.allowed_regions.clone(), route.name.clone())
 }
 
-fn of_account(account: &ClientAccount) -> (AllowedRegions, String) {
+fn account_regions(account: &ClientAccount) -> (AllowedRegions, String) {
     (account.allowed_regions.clone(), account.name.clone())
 }
 
-/// Each restricted set with the first name, in the order of names, that has it.
-fn first_of_each_set(
+/// Returns each distinct restricted set of regions with the alphabetically
+/// first name that has it.
+fn first_name_of_each_set(
     named: impl Iterator<Item = (AllowedRegions, String)>,
 ) -> Vec<(AllowedRegions, String)> {
     let mut restricted: Vec<_> = named.filter(|(regions, _)| !regions.is_all()).collect();
--- a/crates/moleroad_config/src/route_table.rs
+++ b/crates/moleroad_config/src/route_table.rs
@@ -1,4 +1,4 @@
-//! A configuration in the form that requests are looked up in.
+//! Compiled form of a configuration for request lookups.
 
 use crate::configuration::{
     ClientAccount, ConfigVersion, Configuration, Limits, Route, Service, WeightedService,
@@ -7,7 +7,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Routes by host and longest prefix, accounts by key, services by name.
+/// Routes by host and longest prefix, accounts by key, and services by name.
 #[derive(Debug, Default)]
 pub struct RouteTable {
     version: ConfigVersion,
@@ -21,7 +21,7 @@
 }
 
 impl RouteTable {
-    /// Compiles a configuration that was checked.
+    /// Compiles a validated configuration.
     pub fn compile(configuration: &Configuration) -> Self {
         let mut hosts: HashMap<String, Vec<Arc<Route>>> = HashMap::new();
         for route in &configuration.routes {
@@ -32,7 +32,7 @@
             routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
         }
         let host_regions = hosts.iter().map(|(host, routes)| {
-            let regions = regions_of(routes);
+            let regions = entry_regions(routes);
             (host.clone(), regions)
         });
         let host_regions = host_regions.collect();
@@ -59,82 +59,85 @@
         }
     }
 
-    /// Version of the configuration.
+    /// Returns the version of the configuration.
     pub fn version(&self) -> ConfigVersion {
         self.version
     }
 
-    /// Bounds on what callers send.
+    /// Returns the limits on the requests of callers.
     pub fn limits(&self) -> Limits {
         self.limits
     }
 
-    /// The route of a request: of its host's, the one with the longest prefix.
+    /// Returns the route of a request: of the routes of its host, the one with
+    /// the longest matching prefix.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host_name(host).to_ascii_lowercase();
         let routes = self.hosts.get(&name)?;
         routes.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// All routes, in no order.
+    /// Returns all routes in arbitrary order.
     pub fn routes(&self) -> impl Iterator<Item = &Arc<Route>> {
         self.hosts.values().flatten()
     }
 
-    /// All accounts.
+    /// Returns all accounts.
     pub fn accounts(&self) -> impl Iterator<Item = &Arc<ClientAccount>> {
         self.accounts.iter()
     }
 
-    /// Where entries for a host's callers stand best. Callers that look for an
-    /// entry name the host alone, so these are the regions that all its routes
-    /// allow, and where there is none, those that any restricted route names: an
-    /// entry anywhere is right for the others.
+    /// Returns the preferred regions of entries for callers of `host`. Callers
+    /// that look for an entry specify only the host, so these are the regions
+    /// that all of its routes allow or, if there are none, those that any
+    /// restricted route allows. Unrestricted routes can be served through an
+    /// entry in any region.
     pub fn regions_of_host(&self, host: &str) -> AllowedRegions {
         let name = host_name(host).to_ascii_lowercase();
         let regions = self.host_regions.get(&name);
         regions.cloned().unwrap_or_default()
     }
 
-    /// Whether requests to routes that are not public need a key.
+    /// Returns whether requests to routes that are not public need a key.
     pub fn needs_key(&self) -> bool {
         self.needs_key
     }
 
-    /// The account that holds `key`.
+    /// Returns the account that holds `key`.
     pub fn account_of(&self, key: &str) -> Option<&Arc<ClientAccount>> {
         self.keys.get(key)
     }
 
-    /// The service of that name.
+    /// Returns the service `name`.
     pub fn service(&self, name: &str) -> Option<&Arc<Service>> {
         self.services.get(name)
     }
 
-    /// All services, in no order.
+    /// Returns all services in arbitrary order.
     pub fn services(&self) -> impl Iterator<Item = &Arc<Service>> {
         self.services.values()
     }
 
-    /// The service that `draw`, any number, falls on by weight.
-    pub fn service_of(route: &Route, draw: u64) -> Option<&WeightedService> {
+    /// Selects a service of `route` by weight. `random` is any random number.
+    /// Returns `None` if the weights sum to 0.
+    pub fn service_of(route: &Route, random: u64) -> Option<&WeightedService> {
         let total: u64 = route
             .weighted_services
             .iter()
             .map(|weighted| weighted.weight)
             .sum();
-        let mut left = draw.checked_rem(total)?;
+        let mut remaining = random.checked_rem(total)?;
         for weighted in &route.weighted_services {
-            if left < weighted.weight {
+            if remaining < weighted.weight {
                 return Some(weighted);
             }
-            left -= weighted.weight;
+            remaining -= weighted.weight;
         }
         None
     }
 }
 
-/// The host of a `Host` header without its port.
+/// Returns the host of a `Host` header without its port.
 fn host_name(host: &str) -> &str {
     match host.rsplit_once(':') {
         Some((name, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => name,
@@ -142,7 +145,7 @@
     }
 }
 
-fn regions_of(routes: &[Arc<Route>]) -> AllowedRegions {
+fn entry_regions(routes: &[Arc<Route>]) -> AllowedRegions {
     let sets = routes.iter().map(|route| &route.allowed_regions);
     let common = sets
         .clone()
@@ -150,7 +153,7 @@
     if !common.is_none() {
         return common;
     }
-    // A route without a restriction says nothing of where to connect.
+    // Unrestricted routes express no preference.
     let restricted = sets.filter(|set| !set.is_all());
     let none = AllowedRegions::only([]);
     restricted.fold(none, |any, set| any.or(set))
--- a/crates/moleroad_config/tests/config.rs
+++ b/crates/moleroad_config/tests/config.rs
@@ -1,4 +1,4 @@
-//! Checks of configurations, and look-ups in them.
+//! Tests of configuration checks and of lookups.
 
 use moleroad_config::prelude::*;
 use moleroad_types::prelude::AllowedRegions;
@@ -47,7 +47,7 @@
     }
 }
 
-fn sound() -> Configuration {
+fn valid_configuration() -> Configuration {
     Configuration {
         version: ConfigVersion(3),
         routes: vec![
@@ -62,7 +62,7 @@
 
 #[test]
 fn the_longest_prefix_of_the_host_wins() {
-    let table = RouteTable::compile(&sound());
+    let table = RouteTable::compile(&valid_configuration());
     let service_at = |host: &str, path: &str| {
         let route = table.find(host, path)?;
         Some(route.weighted_services[0].service.clone())
@@ -73,12 +73,12 @@
     assert_eq!(service_at("b.example", "/x/1"), None);
 }
 
-/// Puts one fault into a sound configuration.
-type Spoil = Box<dyn Fn(&mut Configuration)>;
+/// Introduces one error into a valid configuration.
+type Mutation = Box<dyn Fn(&mut Configuration)>;
 
 #[test]
 fn each_kind_of_fault_is_refused_under_its_number() {
-    let faults: Vec<(&str, Spoil)> = vec![
+    let faults: Vec<(&str, Mutation)> = vec![
         ("MR-6102", Box::new(|c| c.services.truncate(1))),
         ("MR-6103", Box::new(|c| c.routes[1].prefix = "/x/".into())),
         (
@@ -95,10 +95,10 @@
         ("MR-6108", Box::new(|c| c.routes[0].prefix = "/x".into())),
         ("MR-6109", Box::new(|c| c.version = ConfigVersion(0))),
     ];
-    assert_eq!(check(&sound()), Ok(()));
-    for (number, spoil) in faults {
-        let mut configuration = sound();
-        spoil(&mut configuration);
+    assert_eq!(check(&valid_configuration()), Ok(()));
+    for (number, mutate) in faults {
+        let mut configuration = valid_configuration();
+        mutate(&mut configuration);
         let error = check(&configuration).expect_err(number).to_string();
         assert!(error.starts_with(number), "{number}: {error}");
     }
@@ -129,7 +129,7 @@
 
 #[test]
 fn a_key_names_its_client_account() {
-    let table = RouteTable::compile(&sound());
+    let table = RouteTable::compile(&valid_configuration());
     assert_eq!(
         table.account_of("k3").map(|account| account.name.as_str()),
         Some("second")
--- a/crates/moleroad_config/tests/residency.rs
+++ b/crates/moleroad_config/tests/residency.rs
@@ -1,4 +1,5 @@
-//! Where requests may be served, and what is doubtful about it.
+//! Tests of the regions in which requests may be served, and of the warnings
+//! about them.
 
 use moleroad_config::prelude::*;
 use moleroad_types::prelude::{AllowedRegions, Region};
@@ -126,14 +127,14 @@
         named_by: "a".into(),
     };
     assert_eq!(residency_warnings(&table, &known), [expected]);
-    // Without a list of data halls nothing is known of any region.
+    // Without a list of data halls, no region is reported as unknown.
     assert_eq!(residency_warnings(&table, &BTreeSet::new()), []);
 }
 
 #[test]
 fn a_route_and_an_account_without_a_common_region_are_doubtful() {
     let known: BTreeSet<Region> = ["east", "west"].map(Region::new).into();
-    // Many routes share a set; one warning tells of all.
+    // All routes with the same set of regions share one warning.
     let routes = (0..50).map(|number| route(&format!("r{number:02}"), only(&["east"])));
     let accounts = vec![
         account("free", AllowedRegions::all()),
--- a/crates/moleroad_consensus/src/member.rs
+++ b/crates/moleroad_consensus/src/member.rs
@@ -1,4 +1,4 @@
-//! Members of the control group and the sets of them that must agree.
+//! Members of the control group and the configurations that define its quorums.
 
 use moleroad_types::prelude::InstanceId;
 use serde::{Deserialize, Serialize};
@@ -6,10 +6,10 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Identity of one member, drawn at random when its data folder is made.
+/// Identity of a member, generated at random when its data folder is created.
 ///
-/// It names a disk and not an instance: a member whose disk was lost comes
-/// back under another id and can never vote a second time under the old one.
+/// The id belongs to the disk, not to the instance: a member that lost its disk
+/// rejoins under a new id and so can never vote twice under the old one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct MemberId(pub u64);
@@ -20,19 +20,19 @@
     }
 }
 
-/// Where a member is reached.
+/// Identity and address of a member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberInfo {
     /// Identity of the member's disk.
     pub id: MemberId,
     /// Instance the member runs on.
     pub instance: InstanceId,
-    /// Address that takes calls from other processes.
+    /// Address of the member's RPC server.
     pub address: SocketAddr,
 }
 
 impl MemberInfo {
-    /// Describes a member.
+    /// Creates the description of a member.
     pub fn new(id: MemberId, instance: impl Into<InstanceId>, address: SocketAddr) -> Self {
         Self {
             id,
@@ -42,21 +42,24 @@
     }
 }
 
-/// The members that must agree, in one or, during a change, two sets.
+/// Membership of the group: one set of voters, or two sets that must both agree
+/// during a membership change (joint consensus).
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Configuration {
-    /// Voters of the current, or during a change the incoming, set.
+    /// Voters of the current set; during a membership change, of the incoming
+    /// set.
     pub voters: BTreeSet<MemberId>,
-    /// Voters of the outgoing set; empty outside of a change.
+    /// Voters of the outgoing set; empty unless a membership change is in
+    /// progress.
     pub outgoing: BTreeSet<MemberId>,
-    /// Members that receive the log and do not vote.
+    /// Members that replicate the log without voting.
     pub learners: BTreeSet<MemberId>,
-    /// Where each of them is reached.
+    /// Identity and address of every voter and learner.
     pub members: BTreeMap<MemberId, MemberInfo>,
 }
 
 impl Configuration {
-    /// A configuration in which all `members` vote.
+    /// Returns a configuration with all `members` as voters.
     pub fn of_voters(members: impl IntoIterator<Item = MemberInfo>) -> Self {
         let members: BTreeMap<_, _> = members.into_iter().map(|m| (m.id, m)).collect();
         Self {
@@ -66,28 +69,29 @@
         }
     }
 
-    /// Whether a change from one set of voters to another is under way.
+    /// Returns whether a change of the voter set is in progress.
     pub fn is_joint(&self) -> bool {
         !self.outgoing.is_empty()
     }
 
-    /// Whether `id` votes, in either set.
+    /// Returns whether `id` is a voter of either set.
     pub fn is_voter(&self, id: MemberId) -> bool {
         self.voters.contains(&id) || self.outgoing.contains(&id)
     }
 
-    /// Whether no founding configuration is known yet.
+    /// Returns whether the group has not been bootstrapped yet.
     pub fn is_empty(&self) -> bool {
         self.voters.is_empty()
     }
 
-    /// All voters of both sets and all learners.
-    pub fn everyone(&self) -> BTreeSet<MemberId> {
+    /// Returns the ids of all voters of both sets and of all learners.
+    pub fn member_ids(&self) -> BTreeSet<MemberId> {
         let voters = self.voters.union(&self.outgoing).copied();
         voters.chain(self.learners.iter().copied()).collect()
     }
 
-    /// Whether the members for which `agrees` holds are a majority of each set.
+    /// Returns whether the members for which `agrees` returns true form a
+    /// majority of each set.
     pub fn has_quorum(&self, agrees: impl Fn(MemberId) -> bool) -> bool {
         let majority = |set: &BTreeSet<MemberId>| {
             set.is_empty() || set.iter().filter(|id| agrees(**id)).count() > set.len() / 2
@@ -95,7 +99,8 @@
         !self.voters.is_empty() && majority(&self.voters) && majority(&self.outgoing)
     }
 
-    /// The highest value that a majority of each set has reached.
+    /// Returns the highest value that a majority of each set has reached, or
+    /// `None` without voters.
     pub fn quorum_value<T: Ord + Copy>(&self, value_of: impl Fn(MemberId) -> T) -> Option<T> {
         let reached = |set: &BTreeSet<MemberId>| {
             let mut values: Vec<T> = set.iter().map(|id| value_of(*id)).collect();
@@ -106,7 +111,8 @@
         Some(reached(&self.outgoing).map_or(incoming, |outgoing| incoming.min(outgoing)))
     }
 
-    /// The joint configuration that swaps voter `lost` for `replacement`.
+    /// Returns the joint configuration that replaces voter `lost` with
+    /// `replacement`.
     pub fn replacing(&self, lost: MemberId, replacement: MemberId) -> Self {
         let mut next = self.clone();
         next.outgoing = self.voters.clone();
@@ -116,7 +122,8 @@
         next
     }
 
-    /// The joint configuration that makes the learner `joining` a voter.
+    /// Returns the joint configuration that promotes the learner `joining` to a
+    /// voter.
     pub fn adding(&self, joining: MemberId) -> Self {
         let mut next = self.clone();
         next.outgoing = self.voters.clone();
@@ -125,16 +132,17 @@
         next
     }
 
-    /// The configuration after the change: the outgoing set is dropped.
+    /// Returns the configuration that completes the change by dropping the
+    /// outgoing set.
     pub fn leaving_joint(&self) -> Self {
         let mut next = self.clone();
         next.outgoing.clear();
-        let kept = next.everyone();
+        let kept = next.member_ids();
         next.members.retain(|id, _| kept.contains(id));
         next
     }
 
-    /// The same configuration with `member` as a learner.
+    /// Returns the configuration with `member` added as a learner.
     pub fn with_learner(&self, member: MemberInfo) -> Self {
         let mut next = self.clone();
         next.learners.insert(member.id);
@@ -142,7 +150,7 @@
         next
     }
 
-    /// The same configuration without the learner `id`.
+    /// Returns the configuration with the learner `id` removed.
     pub fn without_learner(&self, id: MemberId) -> Self {
         let mut next = self.clone();
         next.learners.remove(&id);
--- a/crates/moleroad_consensus/src/repair.rs
+++ b/crates/moleroad_consensus/src/repair.rs
@@ -1,4 +1,5 @@
-//! Replacing lost voters, so that the group can stand the next loss.
+//! Membership repair: replaces lost voters so that the group can tolerate the
+//! next failure.
 
 use crate::entry::{LogIndex, Payload};
 use crate::event::Action;
@@ -6,19 +7,21 @@
 use crate::replica::{LeaderState, Replica, Role};
 use moleroad_types::prelude::Millis;
 
-/// How long a spare member counts after it was last seen, in milliseconds.
-const SPARE_FRESH_MS: u64 = 5_000;
+/// Time after its last announcement for which a spare member is eligible, in
+/// milliseconds.
+const SPARE_EXPIRY_MS: u64 = 5_000;
 
 impl Replica {
-    /// Remembers a member that could take a lost voter's place.
-    pub(crate) fn note_spare(&mut self, now: Millis, info: MemberInfo) {
+    /// Records a spare member that could replace a lost voter.
+    pub(crate) fn record_spare(&mut self, now: Millis, info: MemberInfo) {
         if let Role::Leader(state) = &mut self.role {
             state.spares.insert(info.id, (info, now));
         }
     }
 
-    /// Finishes a change of members, or steps down when it left this one out.
-    pub(crate) fn after_commit(&mut self, now: Millis, actions: &mut Vec<Action>) {
+    /// Completes a committed membership change, and steps down if it removed
+    /// this member.
+    pub(crate) fn complete_membership_change(&mut self, now: Millis, actions: &mut Vec<Action>) {
         if self.commit < self.configuration_index {
             return;
         }
@@ -31,8 +34,9 @@
         }
     }
 
-    /// Starts at most one change of members when a voter is lost.
-    pub(crate) fn tend_members(&mut self, now: Millis, actions: &mut Vec<Action>) {
+    /// Starts at most one membership change if a voter is lost or the group is
+    /// below its desired size.
+    pub(crate) fn repair_membership(&mut self, now: Millis, actions: &mut Vec<Action>) {
         if let Some(next) = self.next_configuration(now) {
             self.append_as_leader(now, vec![Payload::Configuration(next)], actions);
         }
@@ -42,34 +46,36 @@
         let Role::Leader(state) = &self.role else {
             return None;
         };
-        let settled = self.commit >= self.configuration_index && self.commit >= state.opened_at;
-        if !settled || self.configuration.is_joint() {
+        let is_committed =
+            self.commit >= self.configuration_index && self.commit >= state.term_start_index;
+        if !is_committed || self.configuration.is_joint() {
             return None;
         }
         let Some(lost) = self.lost_voter(state, now) else {
-            return self.grown_configuration(state, now);
+            return self.growth_configuration(state, now);
         };
         let lost_info = self.configuration.members.get(&lost)?;
-        if let Some(replacement) = self.ready_learner(state, now, lost_info) {
+        if let Some(replacement) = self.caught_up_learner(state, now, lost_info) {
             return Some(self.configuration.replacing(lost, replacement));
         }
-        if let Some(stale) = self.silent_learner(state, now) {
+        if let Some(stale) = self.unresponsive_learner(state, now) {
             return Some(self.configuration.without_learner(stale));
         }
         let spare = self.best_spare(state, now, lost_info)?;
         Some(self.configuration.with_learner(spare.clone()))
     }
 
-    /// The next step towards the wanted number of voters, if there are fewer.
-    fn grown_configuration(&self, state: &LeaderState, now: Millis) -> Option<Configuration> {
-        if self.configuration.voters.len() >= self.wanted_voters {
+    /// Returns the next configuration towards the desired number of voters, if
+    /// there are fewer.
+    fn growth_configuration(&self, state: &LeaderState, now: Millis) -> Option<Configuration> {
+        if self.configuration.voters.len() >= self.desired_voters {
             return None;
         }
         let own = self.configuration.members.get(&self.id)?;
-        if let Some(learner) = self.ready_learner(state, now, own) {
+        if let Some(learner) = self.caught_up_learner(state, now, own) {
             return Some(self.configuration.adding(learner));
         }
-        if let Some(stale) = self.silent_learner(state, now) {
+        if let Some(stale) = self.unresponsive_learner(state, now) {
             return Some(self.configuration.without_learner(stale));
         }
         if !self.configuration.learners.is_empty() {
@@ -79,8 +85,8 @@
         Some(self.configuration.with_learner(spare.clone()))
     }
 
-    /// A voter that is silent for too long, or whose instance came back with
-    /// another disk.
+    /// Returns a lost voter: one without contact for too long, or one whose
+    /// instance came back with another disk.
     fn lost_voter(&self, state: &LeaderState, now: Millis) -> Option<MemberId> {
         let others = self
             .configuration
@@ -91,7 +97,7 @@
             let Some(progress) = state.progress.get(id) else {
                 return false;
             };
-            let silent_ms = now.since(progress.heard_at);
+            let silent_ms = now.since(progress.last_contact);
             let replaced = self.instance_has_other_disk(state, now, *id);
             silent_ms >= self.timing.repair_after_ms
                 || (replaced && silent_ms > self.timing.lease_ms)
@@ -103,7 +109,7 @@
             return false;
         };
         let spare = |(spare, seen): &(MemberInfo, Millis)| {
-            spare.instance == info.instance && now.since(*seen) < SPARE_FRESH_MS
+            spare.instance == info.instance && now.since(*seen) < SPARE_EXPIRY_MS
         };
         let learner = |learner: &MemberId| {
             self.configuration
@@ -114,8 +120,8 @@
         state.spares.values().any(spare) || self.configuration.learners.iter().any(learner)
     }
 
-    /// A learner that is heard and holds all that is committed.
-    fn ready_learner(
+    /// Returns a reachable learner that holds all committed entries.
+    fn caught_up_learner(
         &self,
         state: &LeaderState,
         now: Millis,
@@ -124,18 +130,17 @@
         let ready = self.configuration.learners.iter().copied().filter(|id| {
             state.progress.get(id).is_some_and(|progress| {
                 progress.matched >= self.commit
-                    && now.since(progress.heard_at) <= self.timing.election_min_ms
+                    && now.since(progress.last_contact) <= self.timing.election_min_ms
             })
         });
         self.prefer_instance_of(lost, ready)
     }
 
-    fn silent_learner(&self, state: &LeaderState, now: Millis) -> Option<MemberId> {
+    fn unresponsive_learner(&self, state: &LeaderState, now: Millis) -> Option<MemberId> {
         self.configuration.learners.iter().copied().find(|id| {
-            state
-                .progress
-                .get(id)
-                .is_some_and(|progress| now.since(progress.heard_at) >= self.timing.repair_after_ms)
+            state.progress.get(id).is_some_and(|progress| {
+                now.since(progress.last_contact) >= self.timing.repair_after_ms
+            })
         })
     }
 
@@ -156,15 +161,16 @@
         now: Millis,
         lost: &MemberInfo,
     ) -> Option<&'a MemberInfo> {
-        let fresh = state.spares.values().filter(|(info, seen)| {
-            now.since(*seen) < SPARE_FRESH_MS && !self.configuration.members.contains_key(&info.id)
+        let recent = state.spares.values().filter(|(info, seen)| {
+            now.since(*seen) < SPARE_EXPIRY_MS && !self.configuration.members.contains_key(&info.id)
         });
-        let spares = fresh.map(|(info, _)| info);
+        let spares = recent.map(|(info, _)| info);
         spares.min_by_key(|info| (info.instance != lost.instance, info.id))
     }
 
-    /// Voters that may be lost at once: those beyond a majority that are heard
-    /// and hold all that is committed. `None` when this member does not lead.
+    /// Returns the number of voters that can fail at once: those beyond a
+    /// majority that are reachable and hold the log up to
+    /// `required_match_index`. `None` unless this member is the leader.
     pub(crate) fn losses_tolerated(&self, now: Millis) -> Option<usize> {
         let Role::Leader(state) = &self.role else {
             return None;
@@ -172,22 +178,22 @@
         if self.configuration.is_joint() {
             return Some(0);
         }
-        let sound = |id: &&MemberId| {
+        let healthy = |id: &&MemberId| {
             **id == self.id
                 || state.progress.get(*id).is_some_and(|p| {
-                    p.matched >= self.commit.min(self.safe_mark())
-                        && now.since(p.heard_at) <= self.timing.election_max_ms
+                    p.matched >= self.commit.min(self.required_match_index())
+                        && now.since(p.last_contact) <= self.timing.election_max_ms
                 })
         };
         let voters = &self.configuration.voters;
-        let sound = voters.iter().filter(sound).count();
-        Some(sound.saturating_sub(voters.len() / 2 + 1))
+        let healthy = voters.iter().filter(healthy).count();
+        Some(healthy.saturating_sub(voters.len() / 2 + 1))
     }
 
-    /// Position from which a voter counts as holding the whole log: the
-    /// configuration that made the present set of voters, so that a voter that
-    /// joined holds everything from before it joined.
-    fn safe_mark(&self) -> LogIndex {
+    /// Returns the position up to which a voter must hold the log to count as a
+    /// copy of it: that of the configuration with the current voters, so that a
+    /// new voter holds everything from before it joined.
+    fn required_match_index(&self) -> LogIndex {
         self.configuration_index
     }
 }
--- a/crates/moleroad_consensus/src/replica.rs
+++ b/crates/moleroad_consensus/src/replica.rs
@@ -1,4 +1,4 @@
-//! One member's part in the agreement: the pure core.
+//! Raft state machine of one member.
 
 use crate::entry::{HardState, LogIndex, Payload, Snapshot};
 use crate::event::{Action, Event, Proposal};
@@ -12,32 +12,32 @@
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Most entries in one [`Message::Append`].
+/// Maximum number of entries in one [`Message::Append`].
 pub const MAX_ENTRIES_PER_APPEND: usize = 256;
 
-/// What a leader knows of another member.
+/// Replication progress of another member, tracked by the leader.
 #[derive(Clone, Debug)]
 pub(crate) struct Progress {
     pub(crate) next: LogIndex,
     pub(crate) matched: LogIndex,
     /// Latest `sent_at` that the member echoed.
-    pub(crate) echoed: Option<Millis>,
-    pub(crate) heard_at: Millis,
+    pub(crate) acked_sent_at: Option<Millis>,
+    pub(crate) last_contact: Millis,
     pub(crate) snapshot_sent_at: Option<Millis>,
 }
 
-/// What only a leader keeps.
+/// State that only a leader has.
 #[derive(Clone, Debug)]
 pub(crate) struct LeaderState {
     pub(crate) progress: BTreeMap<MemberId, Progress>,
-    pub(crate) heartbeat_due: Millis,
-    /// Position of the entry that opened the term.
-    pub(crate) opened_at: LogIndex,
-    pub(crate) led_since: Millis,
+    pub(crate) next_heartbeat_at: Millis,
+    /// Position of the no-op entry that started the leader's term.
+    pub(crate) term_start_index: LogIndex,
+    pub(crate) leader_since: Millis,
     pub(crate) spares: BTreeMap<MemberId, (MemberInfo, Millis)>,
 }
 
-/// Which part a member plays in its term.
+/// Role of a member in its current term.
 #[derive(Clone, Debug)]
 pub(crate) enum Role {
     Follower,
@@ -46,13 +46,14 @@
     Leader(Box<LeaderState>),
 }
 
-/// One member's state and decisions. No clock, disk or socket inside.
+/// State machine of one member. It uses no clock, disk or socket: the caller
+/// passes the time in and executes the returned actions.
 #[derive(Clone, Debug)]
 pub struct Replica {
     pub(crate) id: MemberId,
     pub(crate) timing: Timing,
     pub(crate) random: SmallRng,
-    pub(crate) hard: HardState,
+    pub(crate) hard_state: HardState,
     pub(crate) log: Log,
     pub(crate) configuration: Configuration,
     pub(crate) configuration_index: LogIndex,
@@ -60,79 +61,80 @@
     pub(crate) applied: LogIndex,
     pub(crate) role: Role,
     pub(crate) leader: Option<MemberId>,
-    pub(crate) leader_heard_at: Millis,
-    pub(crate) election_due: Millis,
-    /// Sender of the message in hand: a member that is in no configuration
-    /// yet can answer only there.
-    pub(crate) correspondent: Option<MemberInfo>,
-    /// Voters to grow to when spare members are seen; 0 never grows.
-    pub(crate) wanted_voters: usize,
+    pub(crate) last_leader_contact: Millis,
+    pub(crate) election_deadline: Millis,
+    /// Sender of the latest message. A member that is not in any configuration
+    /// yet can reply only to it.
+    pub(crate) last_sender: Option<MemberInfo>,
+    /// Number of voters to grow to while spare members are available; 0
+    /// disables growth.
+    pub(crate) desired_voters: usize,
 }
 
 impl Replica {
-    /// A replica that goes on from what its disk held.
+    /// Creates a replica that continues from the state restored from its disk.
     ///
-    /// It counts as having heard a leader at `now`, so that a restart cannot
-    /// break the promise behind a lease. `seed` spreads election times.
+    /// The replica counts `now` as its last contact with a leader, so that it
+    /// cannot vote during a lease to which it contributed before a restart.
+    /// `seed` randomizes election timeouts.
     pub fn new(id: MemberId, timing: Timing, seed: u64, restored: Restored, now: Millis) -> Self {
         assert!(
             timing.is_safe(),
-            "the lease must end before an election can succeed"
+            "the lease must expire before an election can succeed"
         );
         let log = Log::new(restored.snapshot, restored.entries);
         let (configuration_index, configuration) = log.configuration_at(LogIndex(u64::MAX));
-        let covered = log.snapshot_index();
+        let snapshot_index = log.snapshot_index();
         let mut replica = Self {
             id,
             timing,
             random: SmallRng::seed_from_u64(seed),
-            hard: restored.hard_state,
+            hard_state: restored.hard_state,
             log,
             configuration,
             configuration_index,
-            commit: covered,
-            applied: covered,
+            commit: snapshot_index,
+            applied: snapshot_index,
             role: Role::Follower,
             leader: None,
-            leader_heard_at: now,
-            election_due: now,
-            correspondent: None,
-            wanted_voters: 0,
+            last_leader_contact: now,
+            election_deadline: now,
+            last_sender: None,
+            desired_voters: 0,
         };
-        replica.reset_election(now);
+        replica.reset_election_timer(now);
         replica
     }
 
-    /// The same replica, which as leader makes spare members voters until
-    /// there are `wanted` of them.
-    pub fn with_wanted_voters(mut self, wanted: usize) -> Self {
-        self.wanted_voters = wanted;
+    /// Sets the number of voters up to which a leader promotes spare members.
+    pub fn with_wanted_voters(mut self, desired: usize) -> Self {
+        self.desired_voters = desired;
         self
     }
 
-    /// Takes one event and returns what must be done, in order.
+    /// Processes an event and returns the actions to execute, in order.
     pub fn on_event(&mut self, now: Millis, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
             Event::Tick => self.tick(now, &mut actions),
             Event::Receive { from, message } => {
                 let id = from.id;
-                self.correspondent = Some(from);
+                self.last_sender = Some(from);
                 self.receive(now, id, message, &mut actions);
             }
             Event::Propose(proposals) => self.propose(now, proposals, &mut actions),
             Event::Compact { index, state } => self.compact(index, state, &mut actions),
-            Event::SpareSeen(info) => self.note_spare(now, info),
-            Event::Found(configuration) => self.found(now, configuration, &mut actions),
+            Event::SpareSeen(info) => self.record_spare(now, info),
+            Event::Found(configuration) => self.bootstrap(now, configuration, &mut actions),
         }
         actions
     }
 
     fn tick(&mut self, now: Millis, actions: &mut Vec<Action>) {
         if self.is_leader() {
-            self.lead(now, actions);
-        } else if now >= self.election_due {
-            self.stand(now, actions);
+            self.leader_tick(now, actions);
+        } else if now >= self.election_deadline {
+            self.start_pre_vote(now, actions);
         }
     }
 
@@ -150,10 +152,10 @@
                 last_index,
                 last_term,
             } => {
-                self.answer_vote(now, from, term, pre, (last_term, last_index), actions);
+                self.handle_vote_request(now, from, term, pre, (last_term, last_index), actions);
             }
             Message::VoteReply { term, pre, granted } => {
-                self.count_vote(now, from, term, pre, granted, actions);
+                self.handle_vote_reply(now, from, term, pre, granted, actions);
             }
             Message::Append {
                 term,
@@ -163,8 +165,8 @@
                 commit,
                 sent_at,
             } => {
-                if self.follow(now, from, term, actions) {
-                    self.take_entries(
+                if self.accept_leader(now, from, term, actions) {
+                    self.handle_append(
                         from,
                         (prev_index, prev_term),
                         entries,
@@ -173,7 +175,7 @@
                         actions,
                     );
                 } else {
-                    self.reply_append(from, false, LogIndex(0), sent_at, actions);
+                    self.send_append_reply(from, false, LogIndex(0), sent_at, actions);
                 }
             }
             Message::AppendReply {
@@ -182,17 +184,17 @@
                 position,
                 sent_at,
             } => {
-                self.count_append(now, from, term, accepted, position, sent_at, actions);
+                self.handle_append_reply(now, from, term, accepted, position, sent_at, actions);
             }
             Message::Install {
                 term,
                 snapshot,
                 sent_at,
             } => {
-                if self.follow(now, from, term, actions) {
-                    self.take_snapshot(from, snapshot, sent_at, actions);
+                if self.accept_leader(now, from, term, actions) {
+                    self.handle_install(from, snapshot, sent_at, actions);
                 } else {
-                    self.reply_append(from, false, LogIndex(0), sent_at, actions);
+                    self.send_append_reply(from, false, LogIndex(0), sent_at, actions);
                 }
             }
         }
@@ -216,7 +218,7 @@
             actions.push(Action::Proposed {
                 ticket: proposal.ticket,
                 index,
-                term: self.hard.term,
+                term: self.hard_state.term,
             });
             payloads.push(Payload::Command(proposal.data));
         }
@@ -239,13 +241,14 @@
             state,
         };
         self.log.compact(snapshot.clone());
-        let keep = self.log.from(index.next(), usize::MAX).to_vec();
+        let keep = self.log.entries_from(index.next(), usize::MAX).to_vec();
         actions.push(Action::SaveSnapshot { snapshot, keep });
     }
 
-    fn found(&mut self, now: Millis, configuration: Configuration, actions: &mut Vec<Action>) {
-        let untouched = self.configuration.is_empty() && self.log.last_index() == LogIndex(0);
-        if !untouched || !configuration.is_voter(self.id) {
+    fn bootstrap(&mut self, now: Millis, configuration: Configuration, actions: &mut Vec<Action>) {
+        let is_uninitialized =
+            self.configuration.is_empty() && self.log.last_index() == LogIndex(0);
+        if !is_uninitialized || !configuration.is_voter(self.id) {
             return;
         }
         let state = std::sync::Arc::default();
@@ -256,16 +259,19 @@
             state,
         };
         self.adopt_snapshot(snapshot, actions);
-        self.reset_election(now);
+        self.reset_election_timer(now);
     }
 
-    /// Makes `snapshot` the whole of the log and of the applied state.
+    /// Replaces the log prefix and the applied state with `snapshot`.
     pub(crate) fn adopt_snapshot(&mut self, snapshot: Snapshot, actions: &mut Vec<Action>) {
         self.commit = snapshot.index;
         self.applied = snapshot.index;
         self.log.compact(snapshot.clone());
         self.reload_configuration();
-        let keep = self.log.from(snapshot.index.next(), usize::MAX).to_vec();
+        let keep = self
+            .log
+            .entries_from(snapshot.index.next(), usize::MAX)
+            .to_vec();
         actions.push(Action::SaveSnapshot {
             snapshot: snapshot.clone(),
             keep,
@@ -279,14 +285,14 @@
         self.configuration = configuration;
     }
 
-    pub(crate) fn reset_election(&mut self, now: Millis) {
+    pub(crate) fn reset_election_timer(&mut self, now: Millis) {
         let span = self.timing.election_min_ms..=self.timing.election_max_ms;
-        self.election_due = now + self.random.random_range(span);
+        self.election_deadline = now + self.random.random_range(span);
     }
 
     pub(crate) fn send(&self, to: MemberId, message: Message, actions: &mut Vec<Action>) {
-        let correspondent = self.correspondent.as_ref().filter(|info| info.id == to);
-        if let Some(info) = self.configuration.members.get(&to).or(correspondent) {
+        let last_sender = self.last_sender.as_ref().filter(|info| info.id == to);
+        if let Some(info) = self.configuration.members.get(&to).or(last_sender) {
             actions.push(Action::Send {
                 to: info.clone(),
                 message,
--- a/crates/moleroad_consensus/src/timing.rs
+++ b/crates/moleroad_consensus/src/timing.rs
@@ -1,25 +1,29 @@
-//! Periods of elections, heartbeats and the lease.
+//! Timing parameters of elections, heartbeats and the leader lease.
 
-/// Periods of the algorithm, in milliseconds.
+/// Timing parameters, in milliseconds.
 ///
 /// The lease is safe when `lease_ms` plus the drift of two clocks over that
-/// span stays below `election_min_ms`: a member that heard the leader does
-/// not vote for that long. See [`Timing::is_safe`].
+/// time is below `election_min_ms`: a member does not vote for
+/// `election_min_ms` after its last contact with the leader. See
+/// [`Timing::is_safe`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// Time between heartbeats.
+    /// Interval between heartbeats.
     pub heartbeat_ms: u64,
-    /// Shortest silence of the leader before a member stands for election.
+    /// Minimum election timeout: time without contact with the leader before a
+    /// member starts an election.
     pub election_min_ms: u64,
-    /// Longest such silence.
+    /// Maximum election timeout.
     pub election_max_ms: u64,
-    /// How long the leader may act on its own after a majority heard it.
+    /// Lease duration, counted from the sending of messages that a majority
+    /// acknowledged.
     pub lease_ms: u64,
-    /// Silence after which a voter is replaced if there is a spare member.
+    /// Time without contact after which a voter is replaced, if a spare member
+    /// is available.
     pub repair_after_ms: u64,
 }
 
-/// Largest share by which two clocks are assumed to drift apart, in percent.
+/// Maximum assumed drift between two clocks, in percent of the elapsed time.
 pub const DRIFT_BOUND_PERCENT: u64 = 10;
 
 impl Default for Timing {
@@ -35,7 +39,9 @@
 }
 
 impl Timing {
-    /// Whether the lease ends before any other member can be elected.
+    /// Returns whether the timing is safe: the lease expires before another
+    /// member can be elected and lasts longer than two heartbeats, and the
+    /// election timeouts form a range.
     pub fn is_safe(&self) -> bool {
         let longest_lease = self.lease_ms * (100 + DRIFT_BOUND_PERCENT) / 100;
         longest_lease < self.election_min_ms
--- a/crates/moleroad_consensus/tests/failures.rs
+++ b/crates/moleroad_consensus/tests/failures.rs
@@ -1,4 +1,4 @@
-//! Each failure that the control group must stand, one test each.
+//! Failures that the control group must tolerate, one test for each.
 
 mod support;
 
@@ -47,8 +47,8 @@
     group.check_nothing_lost();
 }
 
-/// Cuts the way between two members in both directions.
-fn cut(group: &mut Group, one: MemberId, other: MemberId) {
+/// Blocks messages between two members in both directions.
+fn block_both_ways(group: &mut Group, one: MemberId, other: MemberId) {
     group.cut.insert((one, other));
     group.cut.insert((other, one));
 }
@@ -69,12 +69,12 @@
         .unwrap()
         .replica
         .term();
-    cut(&mut group, leader, other);
+    block_both_ways(&mut group, leader, other);
     group.run(10_000);
     assert_eq!(
         group.leader(),
         Some(leader),
-        "the one that hears both keeps to the leader"
+        "the member connected to both others keeps the leader"
     );
     assert_eq!(
         group.members[&leader]
@@ -98,10 +98,10 @@
             .copied()
             .filter(|id| *id != leader)
             .collect();
-        cut(&mut group, leader, others[0]);
+        block_both_ways(&mut group, leader, others[0]);
         group.run(2_000);
-        // The one that hears both restarts again and again; `Group::run` checks
-        // at every step that no two members hold a lease.
+        // The member that is connected to both others restarts repeatedly.
+        // `Group::run` checks at every step that no two members hold a lease.
         for _ in 0..60 {
             group.kill(others[1], 0);
             group.start(others[1]);
@@ -124,7 +124,7 @@
     let now = moleroad_types::prelude::Millis(group.now + member.clock_offset);
     let replica = &member.running.as_ref().unwrap().replica;
     assert!(replica.is_leader(), "it still believes that it leads");
-    assert!(!replica.holds_lease(now), "but its lease is over");
+    assert!(!replica.holds_lease(now), "but its lease has expired");
     group.check_nothing_lost();
 }
 
@@ -175,7 +175,7 @@
         .unwrap();
     group.lose_disk(first);
     let spare = group.add_member(9, "spare");
-    // The moment at which the group says that it may lose one again.
+    // Waits until the group reports that it tolerates one loss again.
     let repaired_by = loop {
         let leader = group.await_leader();
         group.event(leader, Event::SpareSeen(spare.clone()));
@@ -228,11 +228,12 @@
     group.check_nothing_lost();
 }
 
-/// One step of a history.
+/// One operation on the storage.
 type Step = Box<dyn Fn(&mut Storage<CrashDisk>) -> Result<(), StorageError>>;
 
-/// A small history: founding, votes, entries, a truncation and a snapshot.
-fn history(disk: CrashDisk) -> Vec<usize> {
+/// Runs votes, appends, a truncation and a snapshot on `disk` until one fails,
+/// and returns the positions of the acknowledged steps.
+fn run_storage_steps(disk: CrashDisk) -> Vec<usize> {
     let entry = |index: u64, term: u64, data: &[u8]| Entry {
         index: LogIndex(index),
         term: moleroad_types::prelude::Term(term),
@@ -276,7 +277,8 @@
     acknowledged
 }
 
-/// What must be there after the steps up to `last` were acknowledged.
+/// Checks that the restored state holds the effects of the first `acknowledged`
+/// steps.
 fn check_restored(restored: &Restored, acknowledged: usize) {
     let last_term = match acknowledged {
         0 => 0,
@@ -293,14 +295,14 @@
         6 | 7 => 4,
         _ => 5,
     };
-    // A truncation or append that was not acknowledged may have happened.
-    let tolerated = if acknowledged == 3 || acknowledged == 4 {
+    // A truncation or append that was not acknowledged may have taken effect.
+    let minimum = if acknowledged == 3 || acknowledged == 4 {
         2
     } else {
         needed
     };
     assert!(
-        last_index >= tolerated,
+        last_index >= minimum,
         "an acknowledged entry is lost: {last_index} after {acknowledged} steps"
     );
 }
@@ -308,13 +310,13 @@
 #[test]
 fn every_crash_point_keeps_what_was_acknowledged() {
     let whole = CrashDisk::default();
-    assert_eq!(history(whole.clone()).len(), 8);
+    assert_eq!(run_storage_steps(whole.clone()).len(), 8);
     let operations = whole.0.lock().unwrap().operations;
     for crash_at in 0..=operations {
         for kept in [0, 1, 7, 30, 60, 10_000] {
             let disk = CrashDisk::default();
             disk.fail_after(crash_at);
-            let acknowledged = history(disk.clone()).len();
+            let acknowledged = run_storage_steps(disk.clone()).len();
             disk.crash(kept);
             let opened = Storage::open(disk, MemberId(1), "instance-1");
             let (_, restored) =
@@ -327,7 +329,7 @@
 #[test]
 fn a_torn_last_record_is_cut_and_earlier_damage_is_a_lost_disk() {
     let disk = CrashDisk::default();
-    history(disk.clone());
+    run_storage_steps(disk.clone());
     let length = disk.len("log");
     let torn = disk.clone();
     torn.damage("log", length - 1);
@@ -336,7 +338,7 @@
     assert_eq!(restored.entries.last().unwrap().index, LogIndex(4));
 
     let damaged = CrashDisk::default();
-    history(damaged.clone());
+    run_storage_steps(damaged.clone());
     damaged.damage("log", 40);
     let opened = Storage::open(damaged, MemberId(1), "instance-1").map(|_| ());
     assert!(
@@ -351,7 +353,7 @@
     let mut random = rand::rngs::SmallRng::seed_from_u64(1);
     for _ in 0..500 {
         let mut disk = CrashDisk::default();
-        history(disk.clone());
+        run_storage_steps(disk.clone());
         let junk: Vec<u8> = (0..random.random_range(1..200))
             .map(|_| random.random())
             .collect();
--- a/crates/moleroad_consensus/tests/support/mod.rs
+++ b/crates/moleroad_consensus/tests/support/mod.rs
@@ -1,5 +1,6 @@
-//! A disk that forgets, and a group of replicas on a network that loses,
-//! delays and doubles messages. All choices come from a seed.
+//! A simulated disk that loses unsynced data in a crash, and a group of
+//! replicas on a simulated network that loses, delays and duplicates messages.
+//! All random choices derive from a seed.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -11,22 +12,22 @@
 use std::io;
 use std::sync::{Arc, Mutex};
 
-/// What the platters of a [`CrashDisk`] hold.
+/// Content of a [`CrashDisk`].
 #[derive(Clone, Debug, Default)]
-pub struct Platters {
-    /// Durable content.
+pub struct DiskContents {
+    /// Content that survives a crash.
     durable: BTreeMap<String, Vec<u8>>,
-    /// Content with what was appended and not synced.
+    /// Content including unsynced appends.
     current: BTreeMap<String, Vec<u8>>,
     /// Operations until the disk fails; `None` never fails.
     operations_left: Option<u64>,
-    /// Operations so far.
+    /// Number of operations so far.
     pub operations: u64,
 }
 
-/// A disk whose content outlives a crash only as far as it was synced.
+/// A simulated disk on which only synced content survives a crash.
 #[derive(Clone, Debug, Default)]
-pub struct CrashDisk(pub Arc<Mutex<Platters>>);
+pub struct CrashDisk(pub Arc<Mutex<DiskContents>>);
 
 impl CrashDisk {
     /// Fails every operation after the next `count`.
@@ -34,31 +35,32 @@
         self.0.lock().unwrap().operations_left = Some(count);
     }
 
-    /// Loses what was not synced, but for `kept` bytes of each file's tail.
+    /// Simulates a crash: drops unsynced bytes, except for the first `kept` of
+    /// each file.
     pub fn crash(&self, kept: usize) {
-        let mut platters = self.0.lock().unwrap();
-        let mut survived = platters.durable.clone();
-        for (name, current) in &platters.current {
-            let durable = platters.durable.get(name).cloned().unwrap_or_default();
+        let mut contents = self.0.lock().unwrap();
+        let mut survived = contents.durable.clone();
+        for (name, current) in &contents.current {
+            let durable = contents.durable.get(name).cloned().unwrap_or_default();
             if current.starts_with(&durable) {
                 let end = (durable.len() + kept).min(current.len());
                 survived.insert(name.clone(), current[..end].to_vec());
             }
         }
         survived.retain(|_, bytes| !bytes.is_empty());
-        platters.durable = survived.clone();
-        platters.current = survived;
-        platters.operations_left = None;
+        contents.durable = survived.clone();
+        contents.current = survived;
+        contents.operations_left = None;
     }
 
     /// Flips one bit of a file.
     pub fn damage(&self, file: &str, offset: usize) {
-        let mut platters = self.0.lock().unwrap();
+        let mut contents = self.0.lock().unwrap();
         for content in [true, false] {
             let files = if content {
-                &mut platters.durable
+                &mut contents.durable
             } else {
-                &mut platters.current
+                &mut contents.current
             };
             if let Some(bytes) = files.get_mut(file) {
                 bytes[offset] ^= 1;
@@ -66,15 +68,15 @@
         }
     }
 
-    /// Length of a file.
+    /// Returns the length of a file.
     pub fn len(&self, file: &str) -> usize {
         self.0.lock().unwrap().current.get(file).map_or(0, Vec::len)
     }
 
     fn count(&self) -> io::Result<()> {
-        let mut platters = self.0.lock().unwrap();
-        platters.operations += 1;
-        match &mut platters.operations_left {
+        let mut contents = self.0.lock().unwrap();
+        contents.operations += 1;
+        match &mut contents.operations_left {
             Some(0) => Err(io::Error::other("the disk failed")),
             Some(left) => {
                 *left -= 1;
@@ -92,14 +94,14 @@
 
     fn append(&mut self, file: &str, bytes: &[u8]) -> io::Result<()> {
         let failed = self.count();
-        let mut platters = self.0.lock().unwrap();
-        // A failing write may leave a part of its bytes.
+        let mut contents = self.0.lock().unwrap();
+        // A failing write may leave part of its bytes behind.
         let written = if failed.is_ok() {
             bytes
         } else {
             &bytes[..bytes.len() / 2]
         };
-        platters
+        contents
             .current
             .entry(file.to_string())
             .or_default()
@@ -109,37 +111,37 @@
 
     fn sync(&mut self, file: &str) -> io::Result<()> {
         self.count()?;
-        let mut platters = self.0.lock().unwrap();
-        let content = platters.current.get(file).cloned().unwrap_or_default();
-        platters.durable.insert(file.to_string(), content);
+        let mut contents = self.0.lock().unwrap();
+        let content = contents.current.get(file).cloned().unwrap_or_default();
+        contents.durable.insert(file.to_string(), content);
         Ok(())
     }
 
     fn replace(&mut self, file: &str, bytes: &[u8]) -> io::Result<()> {
         self.count()?;
-        let mut platters = self.0.lock().unwrap();
-        platters.durable.insert(file.to_string(), bytes.to_vec());
-        platters.current.insert(file.to_string(), bytes.to_vec());
+        let mut contents = self.0.lock().unwrap();
+        contents.durable.insert(file.to_string(), bytes.to_vec());
+        contents.current.insert(file.to_string(), bytes.to_vec());
         Ok(())
     }
 
     fn remove(&mut self, file: &str) -> io::Result<()> {
         self.count()?;
-        let mut platters = self.0.lock().unwrap();
-        platters.durable.remove(file);
-        platters.current.remove(file);
+        let mut contents = self.0.lock().unwrap();
+        contents.durable.remove(file);
+        contents.current.remove(file);
         Ok(())
     }
 }
 
-/// One member: its disk, and while it runs its replica.
+/// A member: its disk and, while it runs, its process.
 pub struct Member {
     pub info: MemberInfo,
     pub disk: CrashDisk,
     pub running: Option<Running>,
-    /// How far its clock is ahead, in milliseconds.
+    /// Time by which its clock is ahead, in milliseconds.
     pub clock_offset: u64,
-    /// Frozen members take part in nothing until thawed.
+    /// A frozen member processes no events.
     pub frozen: bool,
 }
 
@@ -149,11 +151,12 @@
     storage: Storage<CrashDisk>,
     /// Commands applied, by position.
     pub applied: BTreeMap<LogIndex, Vec<u8>>,
-    /// What a snapshot replaced: the commands up to its position.
+    /// Data of all entries applied so far, including those restored from a
+    /// snapshot.
     pub state: Vec<Vec<u8>>,
 }
 
-/// A message on its way.
+/// A message in flight.
 struct InFlight {
     due: u64,
     from: MemberInfo,
@@ -161,33 +164,35 @@
     message: Message,
 }
 
-/// The members, the network between them and what must hold.
+/// The members, the network between them, and the records that invariants are
+/// checked against.
 pub struct Group {
     pub members: BTreeMap<MemberId, Member>,
     pub now: u64,
     pub random: SmallRng,
     network: Vec<InFlight>,
-    /// Pairs between which nothing passes, by direction.
+    /// Links (sender, receiver) on which messages are dropped.
     pub cut: BTreeSet<(MemberId, MemberId)>,
     /// Share of messages lost, in percent.
     pub loss_percent: u32,
-    /// Leader seen in each term.
+    /// Leader of each term.
     leaders: BTreeMap<Term, MemberId>,
     /// Commands acknowledged as accepted, by position.
     pub accepted: BTreeMap<LogIndex, Vec<u8>>,
     proposed: BTreeMap<(MemberId, LogIndex, Term), Vec<u8>>,
-    /// Commands applied anywhere, by position: all must agree.
+    /// Commands applied by any member, by position; all members must agree on
+    /// them.
     history: BTreeMap<LogIndex, Vec<u8>>,
     next_ticket: u64,
     pending: BTreeMap<ProposalTicket, Vec<u8>>,
     timing: Timing,
     compact_after: usize,
-    /// Voters that members started from now on grow the group to.
+    /// Desired number of voters for members that are started from now on.
     pub wanted_voters: usize,
 }
 
 impl Group {
-    /// `count` members founded as one group.
+    /// Creates and bootstraps a group of `count` members.
     pub fn new(seed: u64, count: u64, compact_after: usize) -> Self {
         let timing = Timing {
             repair_after_ms: 4_000,
@@ -240,7 +245,7 @@
         info
     }
 
-    /// Starts a member from what its disk holds.
+    /// Starts a member from the state on its disk.
     pub fn start(&mut self, id: MemberId) {
         let seed = self.random.random();
         let now = self.clock_of(id);
@@ -263,14 +268,14 @@
         });
     }
 
-    /// Kills a member; of unsynced bytes it keeps up to `kept`.
+    /// Kills a member; up to `kept` unsynced bytes of each file survive.
     pub fn kill(&mut self, id: MemberId, kept: usize) {
         let member = self.members.get_mut(&id).unwrap();
         member.running = None;
         member.disk.crash(kept);
     }
 
-    /// Kills a member and its disk.
+    /// Removes a member together with its disk.
     pub fn lose_disk(&mut self, id: MemberId) {
         self.members.remove(&id);
     }
@@ -279,7 +284,7 @@
         Millis(self.now + self.members[&id].clock_offset)
     }
 
-    /// Feeds one member and carries out what it asks for.
+    /// Passes an event to a member and executes the resulting actions.
     pub fn event(&mut self, id: MemberId, event: Event) {
         let now = self
             .members
@@ -296,14 +301,15 @@
         };
         let actions = running.replica.on_event(now, event);
         for action in actions {
-            if !self.carry_out(id, action) {
+            if !self.execute(id, action) {
                 return;
             }
         }
     }
 
-    /// False when the member's disk failed, which ends its process.
-    fn carry_out(&mut self, id: MemberId, action: Action) -> bool {
+    /// Executes an action. Returns false if the member's disk failed, which
+    /// ends its process.
+    fn execute(&mut self, id: MemberId, action: Action) -> bool {
         let member = self.members.get_mut(&id).unwrap();
         let info = member.info.clone();
         let Some(running) = &mut member.running else {
@@ -395,7 +401,7 @@
         }
     }
 
-    /// Lets `milliseconds` pass.
+    /// Advances the simulation by `milliseconds`.
     pub fn run(&mut self, milliseconds: u64) {
         let end = self.now + milliseconds;
         while self.now < end {
@@ -433,7 +439,7 @@
         self.event(id, Event::Compact { index, state });
     }
 
-    /// At most one member holds a lease at any time.
+    /// Checks that at most one member holds a lease.
     fn check_leases(&self) {
         let holders = self.members.values().filter(|member| {
             let now = Millis(self.now + member.clock_offset);
@@ -446,7 +452,7 @@
         assert!(holders.count() <= 1, "two members hold a lease");
     }
 
-    /// The member that leads under a lease.
+    /// Returns the leader that holds a lease, if there is one.
     pub fn leader(&self) -> Option<MemberId> {
         let leads = |member: &&Member| {
             let now = Millis(self.now + member.clock_offset);
@@ -462,7 +468,7 @@
             .map(|member| member.info.id)
     }
 
-    /// Runs until some member leads under a lease.
+    /// Runs until a leader holds a lease.
     pub fn await_leader(&mut self) -> MemberId {
         for _ in 0..2_000 {
             if let Some(leader) = self.leader() {
@@ -473,7 +479,8 @@
         panic!("no leader after a long time");
     }
 
-    /// Ends all cuts, losses and freezes, and starts members that do not run.
+    /// Unblocks all links, ends message loss and freezes, and starts members
+    /// that are down.
     pub fn mend(&mut self) {
         self.cut.clear();
         self.loss_percent = 0;
@@ -486,7 +493,7 @@
         }
     }
 
-    /// Proposes a command at `id`.
+    /// Proposes a command to the member `id`.
     pub fn propose(&mut self, id: MemberId, data: &[u8]) {
         self.next_ticket += 1;
         let ticket = ProposalTicket(self.next_ticket);
@@ -500,7 +507,7 @@
         );
     }
 
-    /// Proposes at the leader until the command is accepted.
+    /// Proposes a command to the leader until it is accepted.
     pub fn accept(&mut self, data: &[u8]) {
         for _ in 0..200 {
             let leader = self.await_leader();
@@ -515,8 +522,8 @@
         panic!("never accepted");
     }
 
-    /// Every accepted command stands in every member's state, in order, once
-    /// all members have caught up.
+    /// Lets all members catch up, then checks that the leader's state holds
+    /// every accepted command and that the states of the voters are equal.
     pub fn check_nothing_lost(&mut self) {
         self.run(200);
         let leader = self.await_leader();
