--- a/crates/moleroad_cli/src/error_body.rs
+++ b/crates/moleroad_cli/src/error_body.rs
@@ -1,19 +1,19 @@
-//! How daemons write why they refuse a call.
+//! JSON error bodies of daemons.
 
 use serde::Deserialize;
 
-/// The body of a refusal.
+/// Body of an error response.
 #[derive(Deserialize)]
 pub(crate) struct ErrorBody {
-    /// Why.
+    /// The error.
     pub(crate) error: ErrorFields,
 }
 
-/// Why a call was refused.
+/// Code and description of an error.
 #[derive(Deserialize)]
 pub(crate) struct ErrorFields {
-    /// Number of the error.
+    /// Result code.
     pub(crate) code: String,
-    /// The reason in words.
+    /// Human-readable description.
     pub(crate) message: String,
 }
--- a/crates/moleroad_cli/src/halls.rs
+++ b/crates/moleroad_cli/src/halls.rs
@@ -1,4 +1,4 @@
-//! Calls about data halls, over HTTP to the control address of any daemon.
+//! HTTP client for data hall calls to the control address of any daemon.
 
 use crate::error_body::ErrorBody;
 use quick_error::quick_error;
@@ -7,95 +7,95 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Rounds over all daemons before a call is given up.
+/// Number of rounds over all daemons before a call fails.
 const ROUNDS: usize = 8;
-/// Wait between two rounds.
-const ROUND_WAIT: Duration = Duration::from_millis(300);
-/// Longest silence of a daemon: it answers within a second, or not at all.
+/// Backoff between two rounds.
+const ROUND_BACKOFF: Duration = Duration::from_millis(300);
+/// Read timeout of a call. A daemon that answers does so within a second.
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest time to establish a connection.
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 quick_error! {
-    /// Why a call about halls did not succeed.
+    /// Error of a data hall call.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum HallCallError {
-        /// A daemon refused it.
+        /// A daemon rejected the call.
         Refused(code: String, message: String) {
             display("{} {}", code, message)
         }
-        /// No daemon answered clearly; an order may have taken effect all the
-        /// same, and can be given again.
+        /// No daemon gave a final answer. The call may have taken effect nevertheless
+        /// and can be retried.
         Unanswered(reason: String) {
             display("{}", reason)
         }
     }
 }
 
-/// A data hall, as a daemon tells of it.
+/// State of a data hall as reported by a daemon.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedHall {
-    /// Its name.
+    /// Name of the data hall.
     pub hall: String,
-    /// Whether its targets get no requests.
+    /// Whether the data hall is evacuated: its targets get no new requests.
     pub evacuated: bool,
-    /// Changes so far.
+    /// Number of changes to the data hall's state so far.
     pub revision: u64,
-    /// Requests of the daemon that answered that run there.
+    /// Requests that the reporting daemon has in flight there.
     pub in_flight: u32,
 }
 
-/// Calls any of several daemons about their halls.
+/// Client for data hall calls that fails over between several daemons.
 #[derive(Clone, Debug)]
 pub struct HallClient {
     daemons: Vec<SocketAddr>,
 }
 
 impl HallClient {
-    /// A client of the daemons with these control addresses.
+    /// Creates a client of the daemons with these control addresses.
     pub fn new(daemons: Vec<SocketAddr>) -> Self {
         Self { daemons }
     }
 
-    /// The halls as the first daemon that answers knows them.
+    /// Returns the data halls known to the first daemon that answers.
     ///
     /// # Errors
-    /// [`HallCallError`] when none answers.
+    /// [`HallCallError`] if the call is rejected or no daemon answers.
     pub fn list(&self) -> Result<Vec<ListedHall>, HallCallError> {
         self.call(attohttpc::Method::GET, "halls")
     }
 
-    /// Keeps all new requests away from the targets of `hall`.
+    /// Evacuates `hall`: its targets get no new requests.
     ///
     /// # Errors
-    /// [`HallCallError`] when it is refused or no daemon acknowledges it.
+    /// [`HallCallError`] if the call is rejected or no daemon acknowledges it.
     pub fn evacuate(&self, hall: &str) -> Result<ListedHall, HallCallError> {
         self.call(attohttpc::Method::POST, &format!("halls/{hall}/evacuate"))
     }
 
-    /// Lets requests go to the targets of `hall` again.
+    /// Restores `hall`: its targets get requests again.
     ///
     /// # Errors
-    /// [`HallCallError`] when it is refused or no daemon acknowledges it.
+    /// [`HallCallError`] if the call is rejected or no daemon acknowledges it.
     pub fn restore(&self, hall: &str) -> Result<ListedHall, HallCallError> {
         self.call(attohttpc::Method::POST, &format!("halls/{hall}/restore"))
     }
 
-    /// Asks one daemon after the other until one answers clearly.
+    /// Calls the daemons in turn until one of them gives a final answer.
     fn call<T: DeserializeOwned>(
         &self,
         method: attohttpc::Method,
         path: &str,
     ) -> Result<T, HallCallError> {
-        let mut last = HallCallError::Unanswered("no entry is given".into());
+        let mut last = HallCallError::Unanswered("no daemon address is given".into());
         for round in 0..ROUNDS {
             if round > 0 {
-                std::thread::sleep(ROUND_WAIT);
+                std::thread::sleep(ROUND_BACKOFF);
             }
             for daemon in &self.daemons {
                 match try_daemon(*daemon, method.clone(), path) {
                     Err(error @ HallCallError::Unanswered(_)) => last = error,
-                    decided => return decided,
+                    result => return result,
                 }
             }
         }
@@ -124,7 +124,7 @@
     let Ok(ErrorBody { error }) = serde_json::from_slice(&body) else {
         return Err(unanswered(format!("status {status}")));
     };
-    // Another daemon, or a later call, may do better.
+    // The call may succeed at another daemon or later.
     if status.is_server_error() {
         return Err(unanswered(format!("{} {}", error.code, error.message)));
     }
--- a/crates/moleroad_fakes/src/deployment/mod.rs
+++ b/crates/moleroad_fakes/src/deployment/mod.rs
@@ -1,4 +1,4 @@
-//! Starts a whole system as separate processes on loopback.
+//! Starts a complete system as separate processes on loopback addresses.
 
 mod operate;
 mod start;
@@ -16,15 +16,16 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Key of the one operator.
+/// Key of the only operator.
 pub const OPERATOR_KEY: &str = "operator key of the harness";
-/// Secret of the system.
+/// Cluster key of the system.
 pub const CLUSTER_KEY: &str = "cluster key of the harness";
 
-/// Lines of each process's log that a failed test prints.
-const LINES_ON_FAILURE: usize = 30;
+/// Number of lines of each process's log that a failed test prints.
+const LOG_LINES_ON_FAILURE: usize = 30;
 
-/// A running deployment; everything ends when it is dropped.
+/// A running deployment. All processes are killed and all files removed on drop; the
+/// environment variable `MOLEROAD_KEEP_FILES` keeps the files.
 pub struct Deployment {
     shape: DeploymentShape,
     folder: PathBuf,
@@ -36,36 +37,37 @@
     targets: BTreeMap<InstanceId, SocketAddr>,
     engines: BTreeMap<InstanceId, FakeEngine>,
     control: Vec<SocketAddr>,
-    /// Addresses for calls and for HTTP of the entries that found the group.
-    founders: Vec<[SocketAddr; 2]>,
+    /// RPC and HTTP addresses of the entries that are founding members of the control
+    /// group.
+    founder_addresses: Vec<[SocketAddr; 2]>,
     origin: SocketAddr,
     membership: SocketAddr,
     next_version: u64,
 }
 
 impl Deployment {
-    /// Starts control members, entries, stand-ins and agents, and founds the
-    /// control group.
+    /// Starts the fakes, the entries with the control members, and the agents, founds
+    /// the control group and waits until all daemons are ready.
     ///
     /// # Errors
-    /// Passes on errors of writing files and starting processes.
+    /// I/O errors of writing files and starting processes.
     pub fn start(shape: DeploymentShape) -> io::Result<Self> {
         let mut deployment = Self::prepare(shape)?;
-        deployment.start_platform()?;
+        deployment.start_origin_and_membership()?;
         deployment.start_entries()?;
-        deployment.found();
+        deployment.found_control_group();
         deployment.start_targets()?;
         deployment.wait_ready();
         Ok(deployment)
     }
 
-    /// Prints the ends of the processes' logs, for a test that has failed.
+    /// Prints the last lines of all processes' logs, for a failed test.
     fn print_logs(&self) {
         for (name, process) in &self.processes {
-            let printed = process.printed();
-            let lines: Vec<&str> = printed.lines().collect();
-            let end = lines.len().saturating_sub(LINES_ON_FAILURE);
-            eprintln!("{name}, its last lines:\n{}", lines[end..].join("\n"));
+            let output = process.printed();
+            let lines: Vec<&str> = output.lines().collect();
+            let start = lines.len().saturating_sub(LOG_LINES_ON_FAILURE);
+            eprintln!("last log lines of {name}:\n{}", lines[start..].join("\n"));
         }
     }
 
@@ -73,79 +75,80 @@
         self.folder.join(format!("{name}.log"))
     }
 
-    /// Folder for an instance's own state or staged chunks.
+    /// Returns the folder for an instance's stored state or staged chunks.
     pub fn data_folder(&self, name: &str) -> PathBuf {
         self.folder.join(format!("{name}-data"))
     }
 
-    /// Folder of the deployment's files.
+    /// Returns the folder of the deployment's files.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
 
-    /// Settings file of an instance.
+    /// Returns the path of an instance's settings file.
     pub fn settings_path(&self, name: &str) -> PathBuf {
         self.folder.join(format!("{name}.yaml"))
     }
 
-    /// The operators' client program.
+    /// Returns the path of the operator client program.
     pub fn client_program(&self) -> PathBuf {
         self.programs.join("moleroad")
     }
 
-    /// An operator's client of all entries.
+    /// Creates an operator client of all entries.
     pub fn client(&self) -> OperatorClient {
         let entries = self.entries.iter().map(|(_, address)| *address).collect();
         OperatorClient::new(entries, OPERATOR_KEY)
     }
 
-    /// Instances and HTTP addresses of the entries.
+    /// Returns the instances and HTTP addresses of the entries.
     pub fn entries(&self) -> &[(InstanceId, SocketAddr)] {
         &self.entries
     }
 
-    /// HTTP address of the entry at `position`.
+    /// Returns the HTTP address of the entry at `position`.
     pub fn entry(&self, position: usize) -> SocketAddr {
         self.entries[position].1
     }
 
-    /// Instances and HTTP addresses of the agents.
+    /// Returns the instances and HTTP addresses of the agents.
     pub fn agents(&self) -> &BTreeMap<InstanceId, SocketAddr> {
         &self.agents
     }
 
-    /// Address of the target on `instance`.
+    /// Returns the address of the target on `instance`.
     pub fn target(&self, instance: &str) -> SocketAddr {
         self.targets[&InstanceId::new(instance)]
     }
 
-    /// Engines that run in the harness.
+    /// Returns the engines that run within the harness.
     pub fn engines(&self) -> &BTreeMap<InstanceId, FakeEngine> {
         &self.engines
     }
 
-    /// Region of the instance `name`, from its settings.
+    /// Returns the region of the instance `name` according to its settings.
     pub fn region_of(&self, name: &str) -> Option<Region> {
         let settings = Settings::from_file(&self.settings_path(name)).ok()?;
         Some(settings.region)
     }
 
-    /// The process named `name`: an instance, or an instance with `-target`.
+    /// Returns the process `name`: the name of an instance, or with the suffix
+    /// `-target` the instance's target.
     ///
     /// # Panics
-    /// When there is none.
+    /// If there is no such process.
     pub fn process(&mut self, name: &str) -> &mut Process {
         self.processes
             .get_mut(name)
             .unwrap_or_else(|| panic!("no process {name}"))
     }
 
-    /// Names of all processes.
+    /// Returns the names of all processes.
     pub fn process_names(&self) -> Vec<String> {
         self.processes.keys().cloned().collect()
     }
 
-    /// Asks every process to stop and waits for those that do so by themselves.
+    /// Sends a stop request to every process and waits until the daemons have stopped.
     pub fn stop(&mut self) {
         for process in self.processes.values() {
             process.signal(Signal::Terminate);
@@ -176,12 +179,12 @@
     }
 }
 
-/// Key of the account `name`.
+/// Returns the key of the account `name`.
 pub fn account_key(name: &str) -> String {
     format!("{name} key")
 }
 
-/// Weights that differ in every chunk, the same for equal seeds.
+/// Generates pseudorandom weights from `seed`, so that all chunks differ.
 pub fn weights_of(seed: u64, bytes: usize) -> Vec<u8> {
     let mut reader = blake3::Hasher::new()
         .update(&seed.to_le_bytes())
--- a/crates/moleroad_fakes/src/deployment/operate.rs
+++ b/crates/moleroad_fakes/src/deployment/operate.rs
@@ -1,4 +1,4 @@
-//! What operators and the platform do to a deployment, and what they see of it.
+//! Operator and platform actions on a deployment, and queries of its state.
 
 use super::{Deployment, account_key};
 use crate::wait::until;
@@ -8,10 +8,10 @@
 use std::io;
 
 impl Deployment {
-    /// Applies an object's content under the next version number.
+    /// Applies an object with the next version number.
     ///
     /// # Errors
-    /// The refusal.
+    /// The error of the operator call.
     pub fn apply(&mut self, name: &str, spec: Spec) -> Result<Revision, MoleroadError> {
         let version = ObjectVersion(self.next_version);
         self.next_version += 1;
@@ -26,10 +26,10 @@
             .map(|answer| answer.revision)
     }
 
-    /// Adds an account whose key is `NAME key`.
+    /// Adds an account whose key is [`account_key`] of its name.
     ///
     /// # Errors
-    /// The refusal.
+    /// The error of the operator call.
     pub fn add_account(
         &mut self,
         name: &str,
@@ -45,10 +45,10 @@
         self.apply(name, Spec::Account(spec)).map(|_| ())
     }
 
-    /// Lets `accounts` call `service`.
+    /// Adds a service that `accounts` may call.
     ///
     /// # Errors
-    /// The refusal.
+    /// The error of the operator call.
     pub fn add_service(&mut self, service: &str, accounts: &[&str]) -> Result<(), MoleroadError> {
         let accounts = accounts
             .iter()
@@ -61,25 +61,25 @@
         self.apply(service, Spec::Service(spec)).map(|_| ())
     }
 
-    /// Puts weights at the origin.
+    /// Stores weights at the origin.
     ///
     /// # Errors
-    /// Passes on write errors.
+    /// I/O errors of writing the file.
     pub fn put_at_origin(&self, path: &str, content: &[u8]) -> io::Result<()> {
         let file = self.folder.join("origin").join(path);
         if let Some(parent) = file.parent() {
             std::fs::create_dir_all(parent)?;
         }
-        // A draw in progress sees the old or the new content, never a part.
+        // The rename is atomic: a download sees the old or the new content, never a part.
         let staged = file.with_extension("new");
         std::fs::write(&staged, content)?;
         std::fs::rename(staged, file)
     }
 
-    /// Publishes weights: at the origin, and as an object.
+    /// Stores weights at the origin and applies the object that publishes them.
     ///
     /// # Errors
-    /// The refusal.
+    /// The error of the operator call.
     pub fn publish(
         &mut self,
         account: &str,
@@ -89,11 +89,11 @@
         chunk_bytes: u32,
     ) -> Result<RootDigest, MoleroadError> {
         let origin_path = format!("{account}/{model}/{version}");
-        let unwritable =
+        let to_error =
             |error: io::Error| MoleroadError::new(ResultCode::ObjectInvalid, error.to_string());
         self.put_at_origin(&origin_path, content)
-            .map_err(unwritable)?;
-        let manifest = Manifest::from_reader(content, chunk_bytes).map_err(unwritable)?;
+            .map_err(to_error)?;
+        let manifest = Manifest::from_reader(content, chunk_bytes).map_err(to_error)?;
         let root = manifest.root;
         let spec = WeightsSpec {
             account: account.into(),
@@ -110,7 +110,7 @@
     /// Places the newest version of a model on matching instances.
     ///
     /// # Errors
-    /// The refusal.
+    /// The error of the operator call.
     pub fn select(
         &mut self,
         name: &str,
@@ -130,12 +130,12 @@
         self.apply(name, Spec::Selector(spec)).map(|_| ())
     }
 
-    /// The state of the system, when it can be had.
+    /// Returns the state of the system, if it is available.
     pub fn status(&self) -> Option<SystemStatus> {
         self.client().status().ok()
     }
 
-    /// Counts of the selector `name`, when they can be had.
+    /// Returns the replica counts of the selector `name`, if they are available.
     pub fn replicas(&self, name: &str) -> Option<ReplicaCounts> {
         let status = self.status()?;
         status
@@ -144,7 +144,7 @@
             .find(|counts| counts.selector.as_str() == name)
     }
 
-    /// Waits until `count` replicas of a selector serve `root`.
+    /// Waits until at least `count` replicas of a selector serve `root`.
     pub fn wait_serving(&self, selector: &str, root: RootDigest, count: u32) -> ReplicaCounts {
         until(&format!("{count} replicas of {selector}"), || {
             let counts = self.replicas(selector)?;
@@ -153,7 +153,7 @@
         })
     }
 
-    /// Bytes that the origin has sent.
+    /// Returns the bytes that the origin has sent.
     pub fn origin_sent_bytes(&self) -> u64 {
         crate::caller::caller_get(self.origin, "/sent", "")
             .body
@@ -161,10 +161,10 @@
             .unwrap_or(0)
     }
 
-    /// Lists instances as leaving.
+    /// Replaces the platform's list of leaving instances.
     ///
     /// # Errors
-    /// Passes on write errors.
+    /// I/O errors of writing the list.
     pub fn list_leaving(&self, instances: &[&str]) -> io::Result<()> {
         std::fs::write(
             self.folder.join("leaving.json"),
@@ -172,7 +172,7 @@
         )
     }
 
-    /// The entry instance that leads the control group.
+    /// Returns the entry instance that leads the control group.
     pub fn leader(&self) -> Option<InstanceId> {
         let group = self.status()?.group;
         let leader = group.leader?;
--- a/crates/moleroad_fakes/src/deployment/start.rs
+++ b/crates/moleroad_fakes/src/deployment/start.rs
@@ -1,4 +1,4 @@
-//! Writes the settings of a deployment's programs and starts them.
+//! Writes the settings of a deployment's daemons and starts all processes.
 
 use super::{CLUSTER_KEY, Deployment, OPERATOR_KEY};
 use crate::address::{AddressPool, free_port, free_ports};
@@ -17,7 +17,7 @@
         let folder = std::env::temp_dir().join(format!("moleroad-{:016x}", rand::random::<u64>()));
         std::fs::create_dir_all(folder.join("origin"))?;
         let mut pool = AddressPool::new();
-        let founders: Vec<[SocketAddr; 2]> = (0..shape.control_members)
+        let founder_addresses: Vec<[SocketAddr; 2]> = (0..shape.control_members)
             .map(|_| free_ports(pool.next_ip()))
             .collect();
         let (origin, membership) = (free_port(pool.next_ip()), free_port(pool.next_ip()));
@@ -31,19 +31,19 @@
             agents: BTreeMap::new(),
             targets: BTreeMap::new(),
             engines: BTreeMap::new(),
-            control: founders.iter().map(|[rpc, _]| *rpc).collect(),
-            founders,
+            control: founder_addresses.iter().map(|[rpc, _]| *rpc).collect(),
+            founder_addresses,
             origin,
             membership,
             next_version: 1,
         })
     }
 
-    pub(super) fn start_platform(&mut self) -> io::Result<()> {
+    pub(super) fn start_origin_and_membership(&mut self) -> io::Result<()> {
         let rate = self.shape.origin_bytes_per_second.to_string();
         let folder = self.folder.join("origin").display().to_string();
         let origin = self.origin.to_string();
-        self.start_stand_in(
+        self.start_fake(
             "origin",
             &[
                 "origin",
@@ -57,13 +57,13 @@
         )?;
         let membership = self.membership.to_string();
         let list = self.folder.join("leaving.json").display().to_string();
-        self.start_stand_in(
+        self.start_fake(
             "membership",
             &["membership", "--address", &membership, "--list", &list],
         )
     }
 
-    fn start_stand_in(&mut self, name: &str, arguments: &[&str]) -> io::Result<()> {
+    fn start_fake(&mut self, name: &str, arguments: &[&str]) -> io::Result<()> {
         let program = self.programs.join("examples").join("stand_in");
         let arguments = arguments
             .iter()
@@ -78,8 +78,9 @@
         for position in 0..self.shape.entries {
             let hall = self.hall(position);
             let instance = InstanceId::new(format!("entry-{position}"));
-            let spare = position < self.shape.control_members + self.shape.spare_control_members;
-            let [rpc_address, http_address] = match self.founders.get(position) {
+            let may_be_member =
+                position < self.shape.control_members + self.shape.spare_control_members;
+            let [rpc_address, http_address] = match self.founder_addresses.get(position) {
                 Some(addresses) => *addresses,
                 None => free_ports(self.pool.next_ip()),
             };
@@ -88,7 +89,7 @@
                 routing_policy: self.shape.routing_policy,
                 ..EntrySettings::default()
             };
-            let control = spare.then(|| Box::new(self.control_settings(&instance)));
+            let control = may_be_member.then(|| Box::new(self.control_settings(&instance)));
             let settings = self.settings(
                 &instance,
                 &hall,
@@ -160,7 +161,7 @@
         Ok(())
     }
 
-    pub(super) fn found(&self) {
+    pub(super) fn found_control_group(&self) {
         let client = self.client();
         until("the control group", || client.found().ok());
         until("a leader", || client.status().ok());
@@ -189,13 +190,13 @@
         }
         let token_ms = self.shape.token_time.as_millis().to_string();
         let slots = self.shape.engine_slots.to_string();
-        let at = address.to_string();
-        self.start_stand_in(
+        let address_text = address.to_string();
+        self.start_fake(
             &format!("{name}-target"),
             &[
                 "engine",
                 "--address",
-                &at,
+                &address_text,
                 "--token-ms",
                 &token_ms,
                 "--slots",
@@ -214,10 +215,10 @@
         let [address, rpc, http] = free_ports(self.pool.next_ip());
         let name = format!("{service}-{position}");
         let work_ms = self.shape.service_time.as_millis().to_string();
-        let at = address.to_string();
-        self.start_stand_in(
+        let address_text = address.to_string();
+        self.start_fake(
             &format!("{name}-target"),
-            &["service", "--address", &at, "--work-ms", &work_ms],
+            &["service", "--address", &address_text, "--work-ms", &work_ms],
         )?;
         let target = TargetSettings::PlainService {
             address,
@@ -257,29 +258,29 @@
         self.start_daemon(&settings)
     }
 
-    /// Waits until every entry may serve and every agent has reported.
+    /// Waits until every entry is ready and every daemon has reported.
     ///
     /// # Panics
-    /// As soon as a process has ended, with what it printed.
+    /// If a process ends, with its output in the message, or on timeout.
     pub(super) fn wait_ready(&mut self) {
         for (instance, address) in self.entries.clone() {
             until(&format!("{instance} to be ready"), || {
-                self.check_all_run();
+                self.assert_all_running();
                 (crate::caller::caller_get(address, "/readyz", "").status == 200).then_some(())
             });
         }
         let daemons = self.entries.len() + self.agents.len();
         until("all daemons to report", || {
-            self.check_all_run();
+            self.assert_all_running();
             let status = self.client().status().ok()?;
             (status.daemons.len() >= daemons).then_some(())
         });
     }
 
-    fn check_all_run(&mut self) {
+    fn assert_all_running(&mut self) {
         for (name, process) in &mut self.processes {
             if let Some(status) = process.exit_status() {
-                panic!("{name} ended ({status}): {}", process.printed());
+                panic!("{name} exited with {status}: {}", process.printed());
             }
         }
     }
--- a/crates/moleroad_fakes/tests/addresses.rs
+++ b/crates/moleroad_fakes/tests/addresses.rs
@@ -1,4 +1,4 @@
-//! Addresses that a deployment's programs listen on.
+//! Allocation of the ports that a deployment's processes listen on.
 
 use moleroad_fakes::address::{free_port, free_ports};
 use moleroad_fakes::prelude::{AddressPool, Process};
@@ -8,11 +8,11 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
 
-/// So many that two would be equal if a port were let go before the last is
-/// chosen.
+/// Enough ports that duplicates would occur if a port were released before the last one
+/// is chosen.
 const PORTS: usize = 1_000;
-/// Threads that start processes while ports are drawn.
-const STARTING_THREADS: usize = 8;
+/// Number of threads that start processes during port allocation.
+const PROCESS_START_THREADS: usize = 8;
 
 #[test]
 fn ports_of_one_instance_all_differ() {
@@ -21,26 +21,27 @@
     assert_eq!(distinct.len(), PORTS);
 }
 
-/// A process that is just being started has what its parent had open.
+/// Guards against ports that remain in use after allocation: between fork and exec, a child
+/// process has the listening sockets of its parent open.
 #[test]
 fn drawn_ports_are_free_while_other_processes_are_started() {
     let log = std::env::temp_dir().join(format!("moleroad-{:016x}.log", rand::random::<u64>()));
-    let is_over = AtomicBool::new(false);
+    let is_done = AtomicBool::new(false);
     let start_processes = || {
-        while !is_over.load(Ordering::Relaxed) {
+        while !is_done.load(Ordering::Relaxed) {
             Process::start(Path::new("true"), Vec::new(), log.clone()).unwrap();
         }
     };
     let ip = AddressPool::new().next_ip();
-    let taken = thread::scope(|scope| {
-        for _ in 0..STARTING_THREADS {
+    let in_use = thread::scope(|scope| {
+        for _ in 0..PROCESS_START_THREADS {
             scope.spawn(start_processes);
         }
-        let is_taken = |_: &usize| TcpListener::bind(free_port(ip)).is_err();
-        let taken = (0..PORTS).filter(is_taken).count();
-        is_over.store(true, Ordering::Relaxed);
-        taken
+        let is_in_use = |_: &usize| TcpListener::bind(free_port(ip)).is_err();
+        let in_use = (0..PORTS).filter(is_in_use).count();
+        is_done.store(true, Ordering::Relaxed);
+        in_use
     });
     let _ = std::fs::remove_file(log);
-    assert_eq!(taken, 0, "of {PORTS} ports");
+    assert_eq!(in_use, 0, "some of {PORTS} allocated ports are in use");
 }
