--- a/crates/moleroad_config/src/configuration.rs
+++ b/crates/moleroad_config/src/configuration.rs
@@ -79,9 +79,9 @@
     /// Maximum number of prompt tokens processed per pass; 0 if unset.
     pub tokens_per_pass: u64,
     /// Typical prompt length, in tokens.
-    pub usual_prompt: f64,
+    pub typical_prompt_tokens: f64,
     /// Typical output length, in tokens.
-    pub usual_answer: f64,
+    pub typical_output_tokens: f64,
 }
 
 /// A model served by an engine service.
@@ -110,7 +110,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdStart {
     /// Time after its start during which a target is cold, in milliseconds.
-    pub lasts_ms: u64,
+    pub cold_duration_ms: u64,
     /// Requests per second that a cold target accepts.
     pub requests_per_s: f64,
 }
--- a/crates/moleroad_config/src/residency.rs
+++ b/crates/moleroad_config/src/residency.rs
@@ -44,7 +44,7 @@
 
     /// Evaluates the request under the configuration of `table`. A route or
     /// account that no longer exists keeps its last restriction.
-    pub fn under(&self, table: &RouteTable) -> Self {
+    pub fn for_configuration(&self, table: &RouteTable) -> Self {
         if table.version() == self.version {
             return self.clone();
         }
@@ -60,14 +60,14 @@
         let route = table.find(&lookup.host, &lookup.path);
         let route = route.map_or(last_route, |route| &route.allowed_regions);
         let key = lookup.key.as_deref();
-        let account = key.and_then(|key| table.account_of(key));
+        let account = key.and_then(|key| table.account_by_key(key));
         let account = account.map_or(last_account, |account| &account.allowed_regions);
         Self {
             lookup,
             version: table.version(),
             route: route.clone(),
             account: account.clone(),
-            allowed: route.and(account),
+            allowed: route.intersection(account),
         }
     }
 
@@ -132,7 +132,7 @@
     let mut warnings = unknown_regions(&routes, &accounts, known);
     for (route_allowed, route) in &routes {
         for (account_allowed, account) in &accounts {
-            if route_allowed.and(account_allowed).is_none() {
+            if route_allowed.intersection(account_allowed).is_empty() {
                 warnings.push(ResidencyWarning::NoCommonRegion {
                     route: route.clone(),
                     account: account.clone(),
@@ -156,7 +156,9 @@
 fn first_name_of_each_set(
     named: impl Iterator<Item = (AllowedRegions, String)>,
 ) -> Vec<(AllowedRegions, String)> {
-    let mut restricted: Vec<_> = named.filter(|(regions, _)| !regions.is_all()).collect();
+    let mut restricted: Vec<_> = named
+        .filter(|(regions, _)| !regions.is_unrestricted())
+        .collect();
     restricted.sort_by(|left, right| left.1.cmp(&right.1));
     let mut seen = HashSet::new();
     restricted.retain(|(regions, _)| seen.insert(regions.clone()));
@@ -170,7 +172,7 @@
 ) -> Vec<ResidencyWarning> {
     let mut unknown: BTreeMap<&Region, &String> = BTreeMap::new();
     for (regions, name) in routes.iter().chain(accounts) {
-        for region in regions.named().into_iter().flatten() {
+        for region in regions.as_slice().into_iter().flatten() {
             if !known.is_empty() && !known.contains(region) {
                 unknown.entry(region).or_insert(name);
             }
--- a/crates/moleroad_config/src/route_table.rs
+++ b/crates/moleroad_config/src/route_table.rs
@@ -104,7 +104,7 @@
     }
 
     /// Returns the account that holds `key`.
-    pub fn account_of(&self, key: &str) -> Option<&Arc<ClientAccount>> {
+    pub fn account_by_key(&self, key: &str) -> Option<&Arc<ClientAccount>> {
         self.keys.get(key)
     }
 
@@ -120,7 +120,7 @@
 
     /// Selects a service of `route` by weight. `random` is any random number.
     /// Returns `None` if the weights sum to 0.
-    pub fn service_of(route: &Route, random: u64) -> Option<&WeightedService> {
+    pub fn select_service(route: &Route, random: u64) -> Option<&WeightedService> {
         let total: u64 = route
             .weighted_services
             .iter()
@@ -149,12 +149,12 @@
     let sets = routes.iter().map(|route| &route.allowed_regions);
     let common = sets
         .clone()
-        .fold(AllowedRegions::all(), |all, set| all.and(set));
-    if !common.is_none() {
+        .fold(AllowedRegions::all(), |all, set| all.intersection(set));
+    if !common.is_empty() {
         return common;
     }
     // Unrestricted routes express no preference.
-    let restricted = sets.filter(|set| !set.is_all());
+    let restricted = sets.filter(|set| !set.is_unrestricted());
     let none = AllowedRegions::only([]);
-    restricted.fold(none, |any, set| any.or(set))
+    restricted.fold(none, |any, set| any.union(set))
 }
--- a/crates/moleroad_config/tests/config.rs
+++ b/crates/moleroad_config/tests/config.rs
@@ -121,7 +121,7 @@
             weight: 10,
         },
     ];
-    let drawn = |draw| RouteTable::service_of(&split, draw).map(|b| b.service.as_str());
+    let drawn = |draw| RouteTable::select_service(&split, draw).map(|b| b.service.as_str());
     let ones = (0..1000).filter(|draw| drawn(*draw) == Some("one")).count();
     let twos = (0..1000).filter(|draw| drawn(*draw) == Some("two")).count();
     assert_eq!((ones, twos), (900, 100));
@@ -131,9 +131,11 @@
 fn a_key_names_its_client_account() {
     let table = RouteTable::compile(&valid_configuration());
     assert_eq!(
-        table.account_of("k3").map(|account| account.name.as_str()),
+        table
+            .account_by_key("k3")
+            .map(|account| account.name.as_str()),
         Some("second")
     );
-    assert!(table.account_of("k4").is_none());
+    assert!(table.account_by_key("k4").is_none());
     assert!(table.needs_key());
 }
--- a/crates/moleroad_config/tests/residency.rs
+++ b/crates/moleroad_config/tests/residency.rs
@@ -67,9 +67,9 @@
         *residency(&table, "/free/x").allowed(),
         only(&["east", "west"])
     );
-    assert!(residency(&table, "/apart/x").allowed().is_none());
+    assert!(residency(&table, "/apart/x").allowed().is_empty());
     let without_key = Residency::new(&table, "a.example", "/free/x", None);
-    assert!(without_key.allowed().is_all());
+    assert!(without_key.allowed().is_unrestricted());
 }
 
 #[test]
@@ -79,10 +79,24 @@
     let narrow = table(2, vec![route("r", only(&["west"]))], accounts());
     let lifted = table(3, vec![route("r", AllowedRegions::all())], accounts());
     let accepted = residency(&wide, "/r/x");
-    assert_eq!(*accepted.under(&wide).allowed(), only(&["east", "west"]));
-    assert_eq!(*accepted.under(&narrow).allowed(), only(&["west"]));
-    assert_eq!(accepted.under(&narrow).version(), ConfigVersion(2));
-    assert!(accepted.under(&lifted).allowed().is_all());
+    assert_eq!(
+        *accepted.for_configuration(&wide).allowed(),
+        only(&["east", "west"])
+    );
+    assert_eq!(
+        *accepted.for_configuration(&narrow).allowed(),
+        only(&["west"])
+    );
+    assert_eq!(
+        accepted.for_configuration(&narrow).version(),
+        ConfigVersion(2)
+    );
+    assert!(
+        accepted
+            .for_configuration(&lifted)
+            .allowed()
+            .is_unrestricted()
+    );
 }
 
 #[test]
@@ -92,7 +106,10 @@
     let other = vec![account("two", AllowedRegions::all())];
     let after = table(2, vec![route("other", AllowedRegions::all())], other);
     let accepted = residency(&before, "/r/x");
-    assert_eq!(*accepted.under(&after).allowed(), only(&["west"]));
+    assert_eq!(
+        *accepted.for_configuration(&after).allowed(),
+        only(&["west"])
+    );
 }
 
 #[test]
@@ -102,7 +119,7 @@
     let free = route("free", AllowedRegions::all());
     let apart = route("apart", only(&["north"]));
     let regions = |routes: Vec<Route>| table(1, routes, vec![]).regions_of_host("A.example:80");
-    assert!(regions(vec![free.clone()]).is_all());
+    assert!(regions(vec![free.clone()]).is_unrestricted());
     let common = regions(vec![narrow.clone(), wide.clone(), free.clone()]);
     assert_eq!(common, only(&["west"]));
     let any = regions(vec![narrow, free, apart]);
@@ -110,7 +127,7 @@
     assert!(
         table(1, vec![], vec![])
             .regions_of_host("b.example")
-            .is_all()
+            .is_unrestricted()
     );
 }
 
--- a/crates/moleroad_consensus/src/replica.rs
+++ b/crates/moleroad_consensus/src/replica.rs
@@ -107,7 +107,7 @@
     }
 
     /// Sets the number of voters up to which a leader promotes spare members.
-    pub fn with_wanted_voters(mut self, desired: usize) -> Self {
+    pub fn with_desired_voters(mut self, desired: usize) -> Self {
         self.desired_voters = desired;
         self
     }
@@ -125,7 +125,7 @@
             Event::Propose(proposals) => self.propose(now, proposals, &mut actions),
             Event::Compact { index, state } => self.compact(index, state, &mut actions),
             Event::SpareSeen(info) => self.record_spare(now, info),
-            Event::Found(configuration) => self.bootstrap(now, configuration, &mut actions),
+            Event::Bootstrap(configuration) => self.bootstrap(now, configuration, &mut actions),
         }
         actions
     }
--- a/crates/moleroad_consensus/tests/failures.rs
+++ b/crates/moleroad_consensus/tests/failures.rs
@@ -16,15 +16,15 @@
         .filter(|id| *id != old)
         .collect();
     for other in &others {
-        group.cut.insert((old, *other));
-        group.cut.insert((*other, old));
+        group.blocked_links.insert((old, *other));
+        group.blocked_links.insert((*other, old));
     }
     // `Group::run` checks at every step that no two members hold a lease.
     group.run(3_000);
     let new = group.leader().expect("the others elect a leader");
     assert_ne!(new, old);
-    group.accept(b"after the cut");
-    group.cut.clear();
+    group.propose_until_accepted(b"after the cut");
+    group.blocked_links.clear();
     group.check_nothing_lost();
 }
 
@@ -38,19 +38,19 @@
         .copied()
         .find(|id| *id != leader)
         .unwrap();
-    group.cut.insert((leader, other));
-    group.accept(b"one way");
-    group.cut.clear();
-    group.cut.insert((other, leader));
-    group.accept(b"the other way");
-    group.cut.clear();
+    group.blocked_links.insert((leader, other));
+    group.propose_until_accepted(b"one way");
+    group.blocked_links.clear();
+    group.blocked_links.insert((other, leader));
+    group.propose_until_accepted(b"the other way");
+    group.blocked_links.clear();
     group.check_nothing_lost();
 }
 
 /// Blocks messages between two members in both directions.
 fn block_both_ways(group: &mut Group, one: MemberId, other: MemberId) {
-    group.cut.insert((one, other));
-    group.cut.insert((other, one));
+    group.blocked_links.insert((one, other));
+    group.blocked_links.insert((other, one));
 }
 
 #[test]
@@ -114,11 +114,11 @@
 fn a_frozen_leader_holds_no_lease_when_it_goes_on() {
     let mut group = Group::new(3, 3, 100);
     let old = group.await_leader();
-    group.accept(b"before");
+    group.propose_until_accepted(b"before");
     group.members.get_mut(&old).unwrap().frozen = true;
     let new = group.await_leader();
     assert_ne!(new, old);
-    group.accept(b"meanwhile");
+    group.propose_until_accepted(b"meanwhile");
     group.members.get_mut(&old).unwrap().frozen = false;
     let member = &group.members[&old];
     let now = moleroad_types::prelude::Millis(group.now + member.clock_offset);
@@ -132,7 +132,7 @@
 fn a_lost_disk_never_votes_again_and_is_replaced() {
     let mut group = Group::new(4, 3, 10);
     for round in 0u8..20 {
-        group.accept(&[round]);
+        group.propose_until_accepted(&[round]);
     }
     let leader = group.await_leader();
     let lost = group
@@ -164,7 +164,7 @@
 fn a_second_loss_right_after_repair_loses_and_stops_nothing() {
     let mut group = Group::new(5, 3, 10);
     for round in 0u8..30 {
-        group.accept(&[round]);
+        group.propose_until_accepted(&[round]);
     }
     let leader = group.await_leader();
     let first = group
@@ -192,7 +192,7 @@
         }
     };
     group.lose_disk(repaired_by);
-    group.accept(b"after the second loss");
+    group.propose_until_accepted(b"after the second loss");
     for round in 0u8..30 {
         assert!(group.accepted.values().any(|data| *data == [round]));
     }
@@ -211,7 +211,7 @@
         .unwrap();
     group.kill(behind, 0);
     for round in 0u16..500 {
-        group.accept(&round.to_le_bytes());
+        group.propose_until_accepted(&round.to_le_bytes());
     }
     group.start(behind);
     group.check_nothing_lost();
@@ -224,7 +224,7 @@
     for (position, member) in group.members.values_mut().enumerate() {
         member.clock_offset = position as u64 * 3_600_000;
     }
-    group.accept(b"whatever the clocks say");
+    group.propose_until_accepted(b"whatever the clocks say");
     group.check_nothing_lost();
 }
 
@@ -366,13 +366,13 @@
 #[test]
 fn a_group_grows_to_the_wanted_number_of_voters_and_then_stands_two_losses() {
     let mut group = Group::new(11, 3, 10);
-    group.wanted_voters = 5;
+    group.desired_voters = 5;
     let ids: Vec<MemberId> = group.members.keys().copied().collect();
     for id in ids {
         group.kill(id, 0);
         group.start(id);
     }
-    group.accept(b"before");
+    group.propose_until_accepted(b"before");
     let spares = [
         group.add_member(21, "fourth"),
         group.add_member(22, "fifth"),
@@ -392,7 +392,7 @@
     for id in lost {
         group.lose_disk(id);
     }
-    group.accept(b"after two losses");
+    group.propose_until_accepted(b"after two losses");
     assert!(group.accepted.values().any(|data| data == b"before"));
     group.check_nothing_lost();
 }
@@ -400,7 +400,7 @@
 #[test]
 fn a_group_of_the_wanted_size_takes_no_spare_member() {
     let mut group = Group::new(12, 3, 10);
-    group.wanted_voters = 3;
+    group.desired_voters = 3;
     let ids: Vec<MemberId> = group.members.keys().copied().collect();
     for id in ids {
         group.kill(id, 0);
--- a/crates/moleroad_consensus/tests/support/mod.rs
+++ b/crates/moleroad_consensus/tests/support/mod.rs
@@ -172,7 +172,7 @@
     pub random: SmallRng,
     network: Vec<InFlight>,
     /// Links (sender, receiver) on which messages are dropped.
-    pub cut: BTreeSet<(MemberId, MemberId)>,
+    pub blocked_links: BTreeSet<(MemberId, MemberId)>,
     /// Share of messages lost, in percent.
     pub loss_percent: u32,
     /// Leader of each term.
@@ -188,7 +188,7 @@
     timing: Timing,
     compact_after: usize,
     /// Desired number of voters for members that are started from now on.
-    pub wanted_voters: usize,
+    pub desired_voters: usize,
 }
 
 impl Group {
@@ -203,7 +203,7 @@
             now: 1_000_000,
             random: SmallRng::seed_from_u64(seed),
             network: Vec::new(),
-            cut: BTreeSet::new(),
+            blocked_links: BTreeSet::new(),
             loss_percent: 0,
             leaders: BTreeMap::new(),
             accepted: BTreeMap::new(),
@@ -213,14 +213,14 @@
             pending: BTreeMap::new(),
             timing,
             compact_after,
-            wanted_voters: 0,
+            desired_voters: 0,
         };
         let infos: Vec<MemberInfo> = (1..=count)
             .map(|id| group.add_member(id, &format!("instance-{id}")))
             .collect();
         let founding = Configuration::of_voters(infos.clone());
         for info in infos {
-            group.event(info.id, Event::Found(founding.clone()));
+            group.event(info.id, Event::Bootstrap(founding.clone()));
         }
         group
     }
@@ -259,7 +259,7 @@
             .as_ref()
             .map_or(Vec::new(), |snapshot| decode(&snapshot.state));
         let replica = Replica::new(id, timing, seed, restored, now);
-        let replica = replica.with_wanted_voters(self.wanted_voters);
+        let replica = replica.with_desired_voters(self.desired_voters);
         member.running = Some(Running {
             replica,
             storage,
@@ -382,7 +382,9 @@
     }
 
     fn send(&mut self, from: MemberInfo, to: MemberId, message: Message) {
-        if self.cut.contains(&(from.id, to)) || self.random.random_ratio(self.loss_percent, 100) {
+        if self.blocked_links.contains(&(from.id, to))
+            || self.random.random_ratio(self.loss_percent, 100)
+        {
             return;
         }
         let copies = if self.random.random_ratio(2, 100) {
@@ -415,7 +417,7 @@
                 from, to, message, ..
             } in due
             {
-                if !self.cut.contains(&(from.id, to)) {
+                if !self.blocked_links.contains(&(from.id, to)) {
                     self.event(to, Event::Receive { from, message });
                 }
             }
@@ -481,8 +483,8 @@
 
     /// Unblocks all links, ends message loss and freezes, and starts members
     /// that are down.
-    pub fn mend(&mut self) {
-        self.cut.clear();
+    pub fn heal(&mut self) {
+        self.blocked_links.clear();
         self.loss_percent = 0;
         let ids: Vec<MemberId> = self.members.keys().copied().collect();
         for id in ids {
@@ -508,7 +510,7 @@
     }
 
     /// Proposes a command to the leader until it is accepted.
-    pub fn accept(&mut self, data: &[u8]) {
+    pub fn propose_until_accepted(&mut self, data: &[u8]) {
         for _ in 0..200 {
             let leader = self.await_leader();
             self.propose(leader, data);
--- a/crates/moleroad_directory/src/apply.rs
+++ b/crates/moleroad_directory/src/apply.rs
@@ -2,7 +2,7 @@
 
 use crate::changes::{Aged, DaemonLoad, RecordVersion};
 use crate::daemon::DaemonRecord;
-use crate::delta::News;
+use crate::delta::DirectoryDelta;
 use crate::directory::{Directory, TargetChange};
 use crate::slots::SlotTable;
 use moleroad_types::prelude::{InstanceId, Millis};
@@ -27,7 +27,7 @@
         &mut self,
         now: Millis,
         own: &InstanceId,
-        delta: News,
+        delta: DirectoryDelta,
         known: &mut SlotTable,
     ) -> DeltaOutcome {
         known.clear_if_restarted(delta.cursor.incarnation);
--- a/crates/moleroad_directory/src/changes.rs
+++ b/crates/moleroad_directory/src/changes.rs
@@ -203,7 +203,7 @@
             return false;
         };
         if known.record.incarnation == version.incarnation {
-            known.at = known.at.max(at);
+            known.last_seen = known.last_seen.max(at);
         }
         true
     }
@@ -236,7 +236,7 @@
     pub fn aged(&self, now: Millis) -> Aged<T> {
         Aged {
             record: self.record.clone(),
-            age_ms: now.since(self.at),
+            age_ms: now.since(self.last_seen),
         }
     }
 
--- a/crates/moleroad_directory/src/delta.rs
+++ b/crates/moleroad_directory/src/delta.rs
@@ -85,7 +85,7 @@
 
 /// Changes of a directory after a [`Cursor`].
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct News {
+pub struct DirectoryDelta {
     /// Position up to which the changes are included.
     pub cursor: Cursor,
     /// Whether more changes are pending, to be requested immediately.
@@ -126,21 +126,21 @@
     /// An answer contains at most [`MAX_RECORDS`] records, so that its size does not grow
     /// with the number of daemons. The caller requests the remaining changes with the
     /// returned cursor.
-    pub fn news(
+    pub fn delta(
         &self,
         now: Millis,
         incarnation: u64,
         own_hall: &str,
         caller: &InstanceId,
         request: DeltaRequest,
-    ) -> News {
+    ) -> DirectoryDelta {
         if request.scope == Scope::Nothing {
-            return News {
+            return DirectoryDelta {
                 cursor: Cursor {
                     incarnation,
                     position: self.position,
                 },
-                ..News::default()
+                ..DirectoryDelta::default()
             };
         }
         if request.relays_suffice && self.daemons.len() + self.targets.len() > MAX_RECORDS {
@@ -170,13 +170,13 @@
             self.position,
         );
         let span = Span { after, until };
-        let mut delta = News {
+        let mut delta = DirectoryDelta {
             cursor: Cursor {
                 incarnation,
                 position: until,
             },
             has_more: until < self.position,
-            ..News::default()
+            ..DirectoryDelta::default()
         };
         for observed in daemons() {
             delta.add(now, observed, span, request);
@@ -205,12 +205,12 @@
     /// Returns the relays of all data halls, for a daemon that is starting up. It
     /// receives the rest from the relay of its own hall, so that few answers contain the
     /// whole directory.
-    fn relays_only(&self, now: Millis, incarnation: u64, caller: &InstanceId) -> News {
+    fn relays_only(&self, now: Millis, incarnation: u64, caller: &InstanceId) -> DirectoryDelta {
         let halls = self.entry_halls().into_iter();
         let relays = halls.flat_map(|hall| self.relays(now, hall));
         let others = relays.filter(|relay| relay.instance != *caller);
         let observed = others.filter_map(|relay| self.daemons.get(&relay.instance));
-        News {
+        DirectoryDelta {
             cursor: Cursor {
                 incarnation,
                 position: 0,
@@ -218,7 +218,7 @@
             daemons: observed
                 .map(|observed| DaemonDelta::of(now, observed))
                 .collect(),
-            ..News::default()
+            ..DirectoryDelta::default()
         }
     }
 }
@@ -248,9 +248,9 @@
     }
 }
 
-impl News {
+impl DirectoryDelta {
     /// Returns whether the caller is now up to date with the callee.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         !self.has_more && self.cursor.position > 0
     }
 
@@ -276,7 +276,7 @@
                 slot: changes.slot,
                 sequence: record.sequence,
                 load: DaemonLoad::of(record),
-                age_ms: now.since(observed.at),
+                age_ms: now.since(observed.last_seen),
             });
         }
     }
--- a/crates/moleroad_directory/src/directory.rs
+++ b/crates/moleroad_directory/src/directory.rs
@@ -37,7 +37,7 @@
     /// Latest record.
     pub record: T,
     /// Time when the subject was last heard from.
-    pub at: Millis,
+    pub last_seen: Millis,
     /// Positions of the record's last changes in this directory's change sequence.
     pub changes: ChangePositions,
 }
@@ -48,7 +48,7 @@
     /// The record was older than the known one and was ignored.
     Stale,
     /// Only the time when the target was last heard from changed.
-    Renewed,
+    Refreshed,
     /// The known record changed.
     Changed,
 }
@@ -118,7 +118,7 @@
             return TargetChange::Changed;
         }
         let has_longer_cold_period = extends_cold_period(known, &record, at);
-        known.at = known.at.max(at);
+        known.last_seen = known.last_seen.max(at);
         // A record without a birth time belongs to the known incarnation and does not
         // erase its birth time.
         let born_ms = record.born_ms.max(known.record.born_ms);
@@ -132,14 +132,16 @@
         refreshed.sequence = known.record.sequence;
         refreshed.cold_left_ms = known.record.cold_left_ms;
         let change = if refreshed == known.record && !has_longer_cold_period {
-            TargetChange::Renewed
+            TargetChange::Refreshed
         } else {
             TargetChange::Changed
         };
         known.record = next;
         let forwarded_at = known.changes.record_at;
-        if change == TargetChange::Changed || known.at.since(forwarded_at) >= TARGET_REFRESH_MS {
-            known.changes.mark_record(position, known.at);
+        if change == TargetChange::Changed
+            || known.last_seen.since(forwarded_at) >= TARGET_REFRESH_MS
+        {
+            known.changes.mark_record(position, known.last_seen);
             self.position = position;
         }
         change
@@ -155,7 +157,7 @@
         });
         let mut life = record.life;
         for other in others {
-            if other.at <= at {
+            if other.last_seen <= at {
                 other.record.life = TargetLifecycle::Gone;
                 self.position += 1;
                 other.changes.mark_record(self.position, at);
@@ -168,7 +170,7 @@
         let changes = ChangePositions::new(self.position, at);
         let observed = Observed {
             record,
-            at,
+            last_seen: at,
             changes,
         };
         self.targets.insert(observed.record.id.clone(), observed);
@@ -176,12 +178,12 @@
     }
 
     /// Marks a target as gone. Returns whether this is a change.
-    pub fn target_gone(&mut self, now: Millis, id: &TargetId) -> bool {
+    pub fn mark_target_gone(&mut self, now: Millis, id: &TargetId) -> bool {
         match self.targets.get_mut(id) {
             Some(known) => {
                 let is_change = known.record.life != TargetLifecycle::Gone;
                 known.record.life = TargetLifecycle::Gone;
-                known.at = known.at.max(now);
+                known.last_seen = known.last_seen.max(now);
                 if is_change {
                     self.position += 1;
                     known.changes.mark_record(self.position, now);
@@ -196,7 +198,7 @@
     /// a response that it is shutting down. Returns whether this is a change. The
     /// announcement may be missing from the target's heartbeats, and the heartbeats may
     /// not be acknowledged anywhere.
-    pub fn target_leaves(&mut self, now: Millis, id: &TargetId, born_ms: u64) -> bool {
+    pub fn mark_target_draining(&mut self, now: Millis, id: &TargetId, born_ms: u64) -> bool {
         let Some(known) = self.targets.get_mut(id) else {
             return false;
         };
@@ -228,7 +230,7 @@
             if self.daemons.len() < MAX_DAEMONS {
                 self.position = position;
                 let observed = Observed {
-                    at,
+                    last_seen: at,
                     changes: ChangePositions {
                         slot: self.slots.allocate(),
                         ..ChangePositions::new(position, at)
@@ -244,12 +246,12 @@
         let is_older = if is_same_incarnation {
             record.sequence < known.record.sequence
         } else {
-            at < known.at
+            at < known.last_seen
         };
         if is_older {
             return false;
         }
-        known.at = known.at.max(at);
+        known.last_seen = known.last_seen.max(at);
         if is_same_incarnation && record.sequence == known.record.sequence {
             // Records forwarded between entries can omit the pieces of agents: the same
             // sequence with pieces adds information, without pieces it does not.
@@ -271,7 +273,7 @@
     pub fn expire(&mut self, now: Millis) {
         let slots = &mut self.slots;
         self.daemons.retain(|_, daemon| {
-            let is_kept = now.since(daemon.at) < DAEMON_EXPIRY_MS;
+            let is_kept = now.since(daemon.last_seen) < DAEMON_EXPIRY_MS;
             if !is_kept {
                 slots.release(daemon.changes.slot);
             }
@@ -282,7 +284,7 @@
                 TargetLifecycle::Gone => TOMBSTONE_TTL_MS,
                 _ => TARGET_EXPIRY_MS,
             };
-            now.since(target.at) < limit
+            now.since(target.last_seen) < limit
         });
         self.expire_limits();
     }
@@ -325,7 +327,7 @@
     }
 
     /// Returns the agents, keyed by the addresses of their engines.
-    pub fn agents(&self) -> HashMap<SocketAddr, &Observed<DaemonRecord>> {
+    pub fn agents_by_engine(&self) -> HashMap<SocketAddr, &Observed<DaemonRecord>> {
         let with_engine = |daemon| {
             let daemon: &Observed<DaemonRecord> = daemon;
             daemon.record.engine.map(|engine| (engine, daemon))
@@ -339,7 +341,7 @@
         let ready = move |daemon: &&Observed<DaemonRecord>| {
             daemon.record.role == DaemonRole::Entry
                 && daemon.record.state == DaemonState::Ready
-                && now.since(daemon.at) < DAEMON_SUSPECT_MS
+                && now.since(daemon.last_seen) < DAEMON_SUSPECT_MS
         };
         self.daemons
             .values()
@@ -377,6 +379,6 @@
 /// Returns whether a record extends the target's cold period beyond the known one. A
 /// remaining time that merely counts down is not a change.
 fn extends_cold_period(known: &Observed<TargetRecord>, next: &TargetRecord, at: Millis) -> bool {
-    let known_until = known.at + known.record.cold_left_ms;
+    let known_until = known.last_seen + known.record.cold_left_ms;
     next.cold_left_ms > 0 && at + next.cold_left_ms > known_until + COLD_CHANGE_TOLERANCE_MS
 }
--- a/crates/moleroad_directory/src/entry_addresses.rs
+++ b/crates/moleroad_directory/src/entry_addresses.rs
@@ -25,7 +25,7 @@
     ///
     /// If there are more candidates than an answer contains, `draw` selects among them,
     /// so that over many answers each is returned equally often.
-    pub fn addresses_for(
+    pub fn entry_addresses_for(
         &self,
         now: Millis,
         hall: &str,
--- a/crates/moleroad_directory/src/lib.rs
+++ b/crates/moleroad_directory/src/lib.rs
@@ -34,7 +34,9 @@
     pub use crate::apply::DeltaOutcome;
     pub use crate::changes::{Aged, DaemonLoad, RecordVersion};
     pub use crate::daemon::{DaemonRecord, DaemonRole, DaemonState, EngineReport, PieceMap};
-    pub use crate::delta::{Cursor, DaemonDelta, DeltaRequest, Interest, News, Scope, SlotLoad};
+    pub use crate::delta::{
+        Cursor, DaemonDelta, DeltaRequest, DirectoryDelta, Interest, Scope, SlotLoad,
+    };
     pub use crate::directory::{Directory, Observed, TargetChange};
     pub use crate::limit::{AdvertisedLimit, RequestRate};
     pub use crate::slots::{Slot, SlotAges, SlotTable};
--- a/crates/moleroad_directory/src/limit.rs
+++ b/crates/moleroad_directory/src/limit.rs
@@ -31,7 +31,7 @@
 
     /// Parses a decimal number of requests per second. Returns `None` for any other text,
     /// including signed numbers.
-    pub fn read(text: &str) -> Option<Self> {
+    pub fn parse(text: &str) -> Option<Self> {
         let digits = text.trim();
         let is_decimal = digits.bytes().all(|b| b.is_ascii_digit() || b == b'.');
         let requests = digits.parse().ok().filter(|_| is_decimal)?;
@@ -82,7 +82,7 @@
     /// its response to a request sent at `sent_at`. Returns whether this is a change. If
     /// the request was sent before the known limit was received, or at an unknown time,
     /// the response may be older than that limit and counts only if it is stricter.
-    pub fn target_named_limit(
+    pub fn update_target_limit(
         &mut self,
         now: Millis,
         id: &TargetId,
--- a/crates/moleroad_directory/src/relays.rs
+++ b/crates/moleroad_directory/src/relays.rs
@@ -39,7 +39,7 @@
         let mut entries = self.entries_of(hall);
         let is_responsive = |observed: &&Observed<DaemonRecord>| {
             observed.record.state != DaemonState::Leaving
-                && now.since(observed.at) < DAEMON_SUSPECT_MS
+                && now.since(observed.last_seen) < DAEMON_SUSPECT_MS
         };
         entries.retain(is_responsive);
         let records = entries.into_iter().map(|observed| &observed.record);
@@ -52,7 +52,7 @@
         let in_hall = self
             .daemons()
             .filter(|observed| observed.record.hall == hall);
-        in_hall.map(|observed| now.since(observed.at)).min()
+        in_hall.map(|observed| now.since(observed.last_seen)).min()
     }
 
     /// Returns whether a data hall has requests in progress.
--- a/crates/moleroad_directory/src/slots.rs
+++ b/crates/moleroad_directory/src/slots.rs
@@ -67,7 +67,7 @@
             }
             // Rounded up, so that no daemon appears to have been heard from more recently
             // than it was.
-            let units = now.since(observed.at).div_ceil(AGE_UNIT_MS);
+            let units = now.since(observed.last_seen).div_ceil(AGE_UNIT_MS);
             ages[index] = u8::try_from(units).unwrap_or(AGE_UNKNOWN);
         }
         Self(ages)
--- a/crates/moleroad_directory/tests/directory.rs
+++ b/crates/moleroad_directory/tests/directory.rs
@@ -70,8 +70,8 @@
 fn a_target_stays_gone() {
     let mut directory = Directory::new();
     directory.merge_target(Millis(0), target("a", 1, 1), 0);
-    assert!(directory.target_gone(Millis(5), &TargetId::new("a")));
-    assert!(!directory.target_gone(Millis(6), &TargetId::new("a")));
+    assert!(directory.mark_target_gone(Millis(5), &TargetId::new("a")));
+    assert!(!directory.mark_target_gone(Millis(6), &TargetId::new("a")));
     directory.merge_target(Millis(7), target("a", 1, 2), 0);
     assert_eq!(lifecycle_of(&directory, "a"), Some(TargetLifecycle::Gone));
 }
@@ -81,7 +81,7 @@
     let mut directory = Directory::new();
     directory.merge_target(Millis(0), target("a", 1, 1), 0);
     let change = directory.merge_target(Millis(1_000), target("a", 1, 2), 0);
-    assert_eq!(change, TargetChange::Renewed);
+    assert_eq!(change, TargetChange::Refreshed);
 }
 
 #[test]
@@ -96,13 +96,13 @@
     }
     assert_eq!(
         directory
-            .addresses_for(Millis(1), "h1", "r1", &AllowedRegions::all(), 0)
+            .entry_addresses_for(Millis(1), "h1", "r1", &AllowedRegions::all(), 0)
             .len(),
         2
     );
     assert_eq!(
         directory
-            .addresses_for(Millis(1), "h2", "r2", &AllowedRegions::all(), 0)
+            .entry_addresses_for(Millis(1), "h2", "r2", &AllowedRegions::all(), 0)
             .len(),
         3
     );
@@ -114,13 +114,13 @@
     assert_ne!(position, directory.position());
     assert_eq!(
         directory
-            .addresses_for(Millis(3), "h1", "r1", &AllowedRegions::all(), 0)
+            .entry_addresses_for(Millis(3), "h1", "r1", &AllowedRegions::all(), 0)
             .len(),
         2
     );
     assert!(
         directory
-            .addresses_for(Millis(9_000), "h1", "r1", &AllowedRegions::all(), 0)
+            .entry_addresses_for(Millis(9_000), "h1", "r1", &AllowedRegions::all(), 0)
             .is_empty()
     );
 }
@@ -193,7 +193,7 @@
     // The remaining time counts down as announced, up to the latency of a call.
     for (at, sequence, left_ms) in [(2_000, 3, 2_100), (4_200, 4, 0)] {
         let change = merge(&mut directory, at, cold_record(sequence, left_ms));
-        assert_eq!(change, TargetChange::Renewed);
+        assert_eq!(change, TargetChange::Refreshed);
     }
     // The cold period is extended while the target is still cold.
     assert_eq!(
@@ -225,7 +225,7 @@
 /// whose requests may be served in the `allowed` regions.
 fn returned_regions(directory: &Directory, allowed: &[&str]) -> Vec<u16> {
     let allowed = AllowedRegions::only(allowed.iter().map(|name| Region::new(*name)));
-    let returned = directory.addresses_for(Millis(1), "h1", "r1", &allowed, 0);
+    let returned = directory.entry_addresses_for(Millis(1), "h1", "r1", &allowed, 0);
     let mut regions: Vec<u16> = returned.iter().map(|a| (a.port() - 1_000) / 10).collect();
     regions.sort_unstable();
     regions.dedup();
@@ -279,7 +279,7 @@
     let mut times = HashMap::new();
     for draw in 0..answers {
         let all = AllowedRegions::all();
-        for address in directory.addresses_for(Millis(1), "h1", "r1", &all, draw) {
+        for address in directory.entry_addresses_for(Millis(1), "h1", "r1", &all, draw) {
             *times.entry(address).or_default() += 1;
         }
     }
@@ -387,10 +387,10 @@
     directory.merge_target(Millis(100), born(2_000, 5), 0);
     let id = TargetId::new("t-1");
     let position = directory.position();
-    assert!(directory.target_leaves(Millis(200), &id, 2_000));
+    assert!(directory.mark_target_draining(Millis(200), &id, 2_000));
     assert!(directory.position() > position, "the change is forwarded");
     assert!(
-        !directory.target_leaves(Millis(210), &id, 2_000),
+        !directory.mark_target_draining(Millis(210), &id, 2_000),
         "no change"
     );
     directory.merge_target(Millis(300), born(2_000, 6), 0);
@@ -412,14 +412,14 @@
     let mut directory = Directory::new();
     directory.merge_target(Millis(100), born(2_000, 5), 0);
     let id = TargetId::new("t-1");
-    assert!(!directory.target_leaves(Millis(200), &id, 1_000));
-    assert!(!directory.target_leaves(Millis(200), &TargetId::new("unknown"), 0));
+    assert!(!directory.mark_target_draining(Millis(200), &id, 1_000));
+    assert!(!directory.mark_target_draining(Millis(200), &TargetId::new("unknown"), 0));
     assert_eq!(
         lifecycle_of(&directory, "t-1"),
         Some(TargetLifecycle::Ready)
     );
-    directory.target_gone(Millis(300), &id);
-    assert!(!directory.target_leaves(Millis(400), &id, 2_000));
+    directory.mark_target_gone(Millis(300), &id);
+    assert!(!directory.mark_target_draining(Millis(400), &id, 2_000));
     assert_eq!(lifecycle_of(&directory, "t-1"), Some(TargetLifecycle::Gone));
 }
 
@@ -431,7 +431,7 @@
         directory.merge_target(Millis(100), born(2_000, 5), 0);
     }
     let id = TargetId::new("t-1");
-    sender.target_leaves(Millis(200), &id, 2_000);
+    sender.mark_target_draining(Millis(200), &id, 2_000);
     let update = sender.target(&id).unwrap().aged(Millis(250));
     let change = receiver.merge_target(Millis(1_000), update.record, update.age_ms);
     assert_eq!(change, TargetChange::Changed);
--- a/crates/moleroad_directory/tests/limits.rs
+++ b/crates/moleroad_directory/tests/limits.rs
@@ -33,21 +33,21 @@
 /// Applies, at `now`, the limit in a response to a request sent at `sent_at`.
 fn advertise(directory: &mut Directory, now: u64, sent_at: u64, rate: Option<RequestRate>) -> bool {
     let sent_at = Some(Millis(sent_at));
-    directory.target_named_limit(Millis(now), &id(), 1_000, sent_at, rate)
+    directory.update_target_limit(Millis(now), &id(), 1_000, sent_at, rate)
 }
 
 #[test]
 fn a_rate_is_a_decimal_number() {
     for (text, per_s) in [("1", 1.0), (" 2.25 ", 2.25), ("0", 0.0), (".5", 0.5)] {
-        assert_eq!(RequestRate::read(text), rate(per_s), "{text:?}");
+        assert_eq!(RequestRate::parse(text), rate(per_s), "{text:?}");
     }
-    assert_eq!(RequestRate::read("0.0004"), rate(0.0));
+    assert_eq!(RequestRate::parse("0.0004"), rate(0.0));
     for odd in [
         "", ".", "-1", "+1", "1e3", "NaN", "inf", "1,5", "1/s", "many",
     ] {
-        assert_eq!(RequestRate::read(odd), None, "{odd:?}");
+        assert_eq!(RequestRate::parse(odd), None, "{odd:?}");
     }
-    let huge = RequestRate::read(&"9".repeat(400)).unwrap();
+    let huge = RequestRate::parse(&"9".repeat(400)).unwrap();
     assert!(huge > RequestRate::per_s(1e12));
 }
 
@@ -65,7 +65,7 @@
         "a stricter limit counts"
     );
     assert_eq!(limit(&directory).rate, rate(1.0));
-    let unknown = directory.target_named_limit(Millis(130), &id(), 1_000, None, None);
+    let unknown = directory.update_target_limit(Millis(130), &id(), 1_000, None, None);
     assert!(!unknown, "the sending time is unknown");
     assert!(advertise(&mut directory, 130, 120, None));
     assert_eq!(limit(&directory).rate, None);
@@ -134,7 +134,7 @@
     assert_eq!(change, TargetChange::Changed);
     assert_eq!(
         other.merge_target(Millis(600), forwarded, 0),
-        TargetChange::Renewed
+        TargetChange::Refreshed
     );
     assert_eq!(limit(&other).rate, rate(2.0));
 }
--- a/crates/moleroad_directory/tests/news.rs
+++ b/crates/moleroad_directory/tests/news.rs
@@ -49,12 +49,12 @@
         }
     }
 
-    fn request(&mut self, now: u64, callee: &Directory, request: DeltaRequest) -> News {
+    fn request(&mut self, now: u64, callee: &Directory, request: DeltaRequest) -> DirectoryDelta {
         let request = DeltaRequest {
             after: self.cursor,
             ..request
         };
-        let delta = callee.news(Millis(now), INCARNATION, HALL, &self.name, request);
+        let delta = callee.delta(Millis(now), INCARNATION, HALL, &self.name, request);
         self.cursor = delta.cursor;
         delta
     }
@@ -64,7 +64,7 @@
         self.apply(now, delta)
     }
 
-    fn apply(&mut self, now: u64, delta: News) -> DeltaOutcome {
+    fn apply(&mut self, now: u64, delta: DirectoryDelta) -> DeltaOutcome {
         let name = self.name.clone();
         self.directory
             .apply_delta(Millis(now), &name, delta, &mut self.known)
@@ -72,7 +72,7 @@
 
     fn last_seen(&self, instance: &str) -> Option<u64> {
         let observed = self.directory.daemon(&InstanceId::new(instance))?;
-        Some(observed.at.0)
+        Some(observed.last_seen.0)
     }
 }
 
@@ -184,7 +184,7 @@
         .collect();
     let expected: Vec<&InstanceId> = relays.iter().map(|relay| &relay.instance).collect();
     assert_eq!(named, expected);
-    assert!(delta.targets.is_empty() && !delta.is_whole());
+    assert!(delta.targets.is_empty() && !delta.is_complete());
     // The cursor does not cover the omitted records.
     let outcome = caller.apply(1, delta);
     assert!(outcome.is_complete);
@@ -251,7 +251,7 @@
         },
         ..all(true)
     };
-    let delta = callee.news(Millis(5), INCARNATION + 1, HALL, &caller.name, request);
+    let delta = callee.delta(Millis(5), INCARNATION + 1, HALL, &caller.name, request);
     assert!(delta.ages.is_some() && delta.daemons.is_empty());
     assert!(!caller.apply(5, delta).is_complete);
 }
--- a/crates/moleroad_directory/tests/relays.rs
+++ b/crates/moleroad_directory/tests/relays.rs
@@ -32,8 +32,8 @@
     InstanceId::new("asker")
 }
 
-fn delta(directory: &Directory, at: u64, request: DeltaRequest) -> News {
-    directory.news(Millis(at), RELAY, "h1", &caller(), request)
+fn delta(directory: &Directory, at: u64, request: DeltaRequest) -> DirectoryDelta {
+    directory.delta(Millis(at), RELAY, "h1", &caller(), request)
 }
 
 /// Returns a directory with two entries and one agent in each of two data halls.
@@ -87,7 +87,7 @@
 fn a_relay_that_restarted_tells_all_again() {
     let directory = two_halls();
     let first = delta(&directory, 1, all_since(Cursor::default()));
-    let restarted = directory.news(
+    let restarted = directory.delta(
         Millis(2),
         RELAY + 1,
         "h1",
@@ -196,7 +196,7 @@
         1
     );
     let second = delta(&directory, 12_002, all_since(first.cursor));
-    directory.target_gone(Millis(12_003), &TargetId::new("t"));
+    directory.mark_target_gone(Millis(12_003), &TargetId::new("t"));
     let third = delta(&directory, 12_004, all_since(second.cursor));
     assert_eq!(third.targets[0].record.life, TargetLifecycle::Gone);
 }
--- a/crates/moleroad_dispatch/benches/choose.rs
+++ b/crates/moleroad_dispatch/benches/choose.rs
@@ -31,7 +31,7 @@
         cold: None,
         limit: None,
         granted_until: None,
-        rests_until: None,
+        backoff_until: None,
     }
 }
 
@@ -41,7 +41,7 @@
     targets.set((0..TARGETS).map(target).collect());
     for number in 0..TARGETS {
         let id = TargetId::new(format!("target-{number}"));
-        targets.reported(Millis(9_990), &id, (number % 7) as u32, 0);
+        targets.record_report(Millis(9_990), &id, (number % 7) as u32, 0);
     }
     targets
 }
@@ -58,7 +58,7 @@
     ];
     for (name, regions) in sets {
         let needs = Requirements {
-            least: Some(1),
+            min_version: Some(1),
             prompt_tokens: 900,
             regions: Some(&regions),
             ..Requirements::default()
--- a/crates/moleroad_dispatch/benches/grant.rs
+++ b/crates/moleroad_dispatch/benches/grant.rs
@@ -9,12 +9,12 @@
 fn grants(c: &mut Criterion) {
     let bound = RateBound::new(15.0, 1.5, 5.0);
     c.bench_function("one grant, with its terms", |b| {
-        let terms = bound.terms().expect("terms");
+        let terms = bound.bucket_params().expect("terms");
         let mut bucket = TokenBucket::new(Millis(0), terms);
         let mut at = 0;
         b.iter(|| {
             at += 1;
-            bucket.set_params(Millis(at), black_box(bound).terms().expect("terms"));
+            bucket.set_params(Millis(at), black_box(bound).bucket_params().expect("terms"));
             black_box(bucket.take(Millis(at)))
         });
     });
--- a/crates/moleroad_dispatch/src/admission.rs
+++ b/crates/moleroad_dispatch/src/admission.rs
@@ -2,7 +2,7 @@
 
 use crate::candidate::{Candidate, Requirements};
 use crate::cold::Admission;
-use crate::eligibility::barrier;
+use crate::eligibility::exclusion;
 use crate::limit::limit_bucket_params;
 use crate::targets::Targets;
 use moleroad_directory::prelude::TargetId;
@@ -50,8 +50,8 @@
             };
         }
         let sends = self.sends.get(&candidate.id);
-        let has_room = sends.is_none_or(|sends| sends.has_room(now, cold.part));
-        if cold.part > 0 && now >= cold.quota_from && has_room {
+        let has_room = sends.is_none_or(|sends| sends.has_room(now, cold.quota));
+        if cold.quota > 0 && now >= cold.quota_from && has_room {
             Admission::Quota
         } else {
             Admission::Denied
@@ -61,7 +61,7 @@
     /// Returns whether a send to a previously chosen target may still start. Checks
     /// against the current state: the grant or quota reservation has not expired, and a
     /// target that turned cold or named a limit since it was chosen has one.
-    pub fn may_begin(&self, now: Millis, chosen: &Candidate) -> bool {
+    pub fn may_still_send(&self, now: Millis, chosen: &Candidate) -> bool {
         // `None`: it was chosen without a grant or a quota reservation.
         let in_time = chosen.granted_until.map(|until| now <= until);
         let Some(known) = self.candidate(&chosen.id) else {
@@ -83,7 +83,7 @@
             |candidate: &Candidate| candidate.cold.as_deref().map(|cold| cold.requires_grant);
         // The quota is not checked again: this send already counts against it.
         let is_open = match known.cold.as_deref() {
-            Some(cold) if !cold.requires_grant => cold.part > 0 && now >= cold.quota_from,
+            Some(cold) if !cold.requires_grant => cold.quota > 0 && now >= cold.quota_from,
             _ => self.admission(now, known) == Admission::Grant,
         };
         is_by_grant(chosen) == is_by_grant(known) && is_open
@@ -117,7 +117,7 @@
         let serving = || {
             self.candidates
                 .iter()
-                .filter(|c| barrier(c, needs).is_none())
+                .filter(|c| exclusion(c, needs).is_none())
         };
         let rates = serving().map(|candidate| self.current_rate_limit(now, candidate));
         let per_s: f64 = rates.sum::<Option<f64>>()?;
--- a/crates/moleroad_dispatch/src/backoff.rs
+++ b/crates/moleroad_dispatch/src/backoff.rs
@@ -74,14 +74,14 @@
 
 /// The targets that this daemon backs off from, by address.
 #[derive(Clone, Debug, Default)]
-pub struct Rests {
+pub struct TargetBackoffs {
     by_address: HashMap<SocketAddr, Backoff>,
 }
 
-impl Rests {
+impl TargetBackoffs {
     /// Records the backoff requested in an answer sent at `answered_unix_ms`, Unix time
     /// in milliseconds. A shorter backoff does not shorten an earlier one.
-    pub fn ask(&mut self, now: Millis, from: Responder, answered_unix_ms: u64, backoff_ms: u64) {
+    pub fn record(&mut self, now: Millis, from: Responder, answered_unix_ms: u64, backoff_ms: u64) {
         self.by_address.retain(|_, backoff| backoff.until > now);
         let asked_until = now + backoff_ms;
         let known = self.by_address.get(&from.address);
--- a/crates/moleroad_dispatch/src/budget.rs
+++ b/crates/moleroad_dispatch/src/budget.rs
@@ -50,7 +50,7 @@
 
     /// Reserves a retry, with the limit shared by `entries` entries. Returns false if
     /// that would exceed this entry's share.
-    pub fn take(&mut self, now: Millis, entries: usize) -> bool {
+    pub fn try_take(&mut self, now: Millis, entries: usize) -> bool {
         if !self.has_room(now, entries) {
             return false;
         }
--- a/crates/moleroad_dispatch/src/candidate.rs
+++ b/crates/moleroad_dispatch/src/candidate.rs
@@ -66,7 +66,7 @@
     pub agent: Option<SocketAddr>,
     /// Until when this daemon must not send to it, as it asked with `Retry-After`;
     /// `None` if it did not.
-    pub rests_until: Option<Millis>,
+    pub backoff_until: Option<Millis>,
     /// Rate bound while it is cold; `None` if its service has none.
     pub cold: Option<Arc<ColdTarget>>,
     /// Rate limit that the target named; `None` if it named none.
@@ -84,14 +84,14 @@
     /// Targets that the request was sent to before.
     pub tried: &'a [TargetId],
     /// Minimum version of the weights.
-    pub least: Option<u64>,
+    pub min_version: Option<u64>,
     /// Number of tokens in its prompt.
     pub prompt_tokens: u64,
     /// Time left until its first event is due, in milliseconds; `None` if an answer is
     /// useful at any time.
     pub first_event_within_ms: Option<u64>,
     /// Slots that must stay free at the target for other requests.
-    pub spare: u32,
+    pub reserved_slots: u32,
     /// Regions in which it may be served; `None` allows all.
     pub regions: Option<&'a AllowedRegions>,
 }
--- a/crates/moleroad_dispatch/src/choice.rs
+++ b/crates/moleroad_dispatch/src/choice.rs
@@ -3,7 +3,7 @@
 use crate::candidate::{Candidate, Distance, Requirements};
 use crate::cold::Admission;
 use crate::division::QUOTA_SEND_TTL_MS;
-use crate::eligibility::barrier;
+use crate::eligibility::exclusion;
 use crate::targets::Targets;
 use moleroad_types::prelude::Millis;
 
@@ -24,7 +24,7 @@
     /// All targets are full; wait for a free slot.
     Full,
     /// No target is eligible.
-    Nobody,
+    NoTarget,
 }
 
 /// Number of targets compared in the own region, and again in the other regions: if
@@ -70,12 +70,12 @@
     pub fn choose(&self, now: Millis, needs: Requirements<'_>, random: u64) -> Choice {
         let pool = self.pool(now, needs);
         if pool.is_empty() {
-            return Choice::Nobody;
+            return Choice::NoTarget;
         }
         let free = pool
             .iter()
             .filter(|candidate| self.needs_no_grant(now, candidate))
-            .filter(|candidate| self.has_free_slot(now, candidate, needs.spare))
+            .filter(|candidate| self.has_free_slot(now, candidate, needs.reserved_slots))
             .filter(|candidate| self.meets_deadline(now, candidate, needs));
         let free: Vec<&Candidate> = free.copied().collect();
         let sample = sample(&free, random);
@@ -90,10 +90,15 @@
 
     /// Returns a random sample of the targets that meet `needs`, have a free slot and
     /// admit the request on a grant.
-    pub fn on_grant(&self, now: Millis, needs: Requirements<'_>, random: u64) -> Vec<Candidate> {
+    pub fn grant_candidates(
+        &self,
+        now: Millis,
+        needs: Requirements<'_>,
+        random: u64,
+    ) -> Vec<Candidate> {
         let mut pool = self.pool(now, needs);
         pool.retain(|candidate| self.admission(now, candidate) == Admission::Grant);
-        pool.retain(|candidate| self.has_free_slot(now, candidate, needs.spare));
+        pool.retain(|candidate| self.has_free_slot(now, candidate, needs.reserved_slots));
         let drawn = pick_random(pool, QUERIED_IN_REGION, random);
         drawn.into_iter().cloned().collect()
     }
@@ -102,7 +107,7 @@
     /// them. A target presumed unreachable is included again once its agent may be
     /// queried.
     fn pool(&self, now: Millis, needs: Requirements<'_>) -> Vec<&Candidate> {
-        let is_eligible = |candidate: &&Candidate| barrier(candidate, needs).is_none();
+        let is_eligible = |candidate: &&Candidate| exclusion(candidate, needs).is_none();
         let eligible: Vec<&Candidate> = self.candidates.iter().filter(is_eligible).collect();
         let healthy = |candidate: &&&Candidate| {
             let load = self.load(&candidate.id);
@@ -153,7 +158,7 @@
         let known: Vec<&Candidate> = shortlisted
             .iter()
             .filter_map(|shortlisted| self.candidate(&shortlisted.id))
-            .filter(|candidate| barrier(candidate, needs).is_none())
+            .filter(|candidate| exclusion(candidate, needs).is_none())
             .collect();
         let is_responsive =
             |candidate: &&Candidate| !self.load(&candidate.id).is_presumed_unreachable(now);
@@ -162,7 +167,7 @@
             .into_iter()
             .filter(|candidate| !any_responsive || is_responsive(candidate))
             .filter(|candidate| self.admission(now, candidate) != Admission::Denied)
-            .filter(|candidate| self.has_free_slot(now, candidate, needs.spare))
+            .filter(|candidate| self.has_free_slot(now, candidate, needs.reserved_slots))
             .filter(|candidate| self.meets_deadline(now, candidate, needs));
         let best = free.min_by(|a, b| self.cost_ms(now, a).total_cmp(&self.cost_ms(now, b)));
         best.map(|best| self.with_quota_expiry(now, best))
--- a/crates/moleroad_dispatch/src/cold.rs
+++ b/crates/moleroad_dispatch/src/cold.rs
@@ -38,11 +38,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ColdEvidence {
     /// How long a target is cold after its start, in milliseconds.
-    pub lasts_ms: u64,
+    pub cold_duration_ms: u64,
     /// When it was discovered.
     pub first_heard: Millis,
     /// Time of its last heartbeat.
-    pub heard: Millis,
+    pub last_heartbeat: Millis,
     /// Remaining cold time according to that heartbeat, in milliseconds.
     pub left_ms: u64,
     /// When its data hall was returned to service after an evacuation, if it was.
@@ -53,20 +53,20 @@
     /// Returns until when the target counts as cold, and by which source.
     pub fn until(self) -> (Millis, ColdSource) {
         // A heartbeat that says the target is not cold overrides earlier assumptions.
-        let spoke_since = |at: Millis| self.left_ms == 0 && self.heard > at;
+        let spoke_since = |at: Millis| self.left_ms == 0 && self.last_heartbeat > at;
         let assumed = |from: Millis| {
             let is_over = spoke_since(from);
             if is_over {
                 Millis(0)
             } else {
-                from + self.lasts_ms
+                from + self.cold_duration_ms
             }
         };
         let restored = self.restored.map_or(Millis(0), assumed);
         [
             (assumed(self.first_heard), ColdSource::FirstHeard),
             (restored, ColdSource::Restored),
-            (self.said_until(), ColdSource::Heartbeat),
+            (self.reported_until(), ColdSource::Heartbeat),
         ]
         .into_iter()
         .max()
@@ -74,9 +74,9 @@
     }
 
     /// Returns until when the target is cold according to its own heartbeat.
-    pub fn said_until(self) -> Millis {
+    pub fn reported_until(self) -> Millis {
         if self.left_ms > 0 {
-            self.heard + self.left_ms
+            self.last_heartbeat + self.left_ms
         } else {
             Millis(0)
         }
@@ -93,13 +93,13 @@
     /// Source of that evidence.
     pub source: ColdSource,
     /// Until when it is cold according to its own heartbeat.
-    pub said_until: Millis,
+    pub reported_until: Millis,
     /// How long a target is cold after its start, in milliseconds.
-    pub lasts_ms: u64,
+    pub cold_duration_ms: u64,
     /// Whether each send needs a grant from the target's agent.
     pub requires_grant: bool,
     /// Requests that this entry may send without a grant in one quota window.
-    pub part: u32,
+    pub quota: u32,
     /// From when on it may use that quota.
     pub quota_from: Millis,
 }
@@ -110,7 +110,7 @@
     /// after the end of an evacuation, is withdrawn here by the target's next
     /// heartbeat but would not be withdrawn elsewhere.
     pub fn reported_left_ms(&self, now: Millis) -> u64 {
-        self.said_until.since(now)
+        self.reported_until.since(now)
     }
 
     /// Sets the quota of the entry `own` among the ready `entries`; it stays 0 if sends
@@ -119,7 +119,7 @@
         if self.requires_grant {
             return self;
         }
-        self.part = Division::of(self.bound).quota_of(own, entries, target);
+        self.quota = Division::of(self.bound).quota_of(own, entries, target);
         self
     }
 }
--- a/crates/moleroad_dispatch/src/cost.rs
+++ b/crates/moleroad_dispatch/src/cost.rs
@@ -30,16 +30,16 @@
         let load = self.load(&candidate.id);
         let requests = load.requests(now);
         let slots = f64::from(candidate.slots.saturating_sub(spare));
-        if self.reading.is_some() && load.is_current(now) {
-            return load.own() < candidate.max_own && requests + 1.0 <= slots;
+        if self.prefill.is_some() && load.is_current(now) {
+            return load.own_in_flight() < candidate.max_own && requests + 1.0 <= slots;
         }
         // All entries see at the same time that a target has become free: until a
         // report shows what the others sent, each sends no more than its own share.
         let has_used_share =
-            self.reading.is_some() && load.unreported(now) >= candidate.share.max(1);
+            self.prefill.is_some() && load.unreported(now) >= candidate.share.max(1);
         let is_lightly_loaded = requests + 1.0 <= slots * SHARED_LOAD_LIMIT && !has_used_share;
-        let has_own = load.own() < candidate.share && requests < slots;
-        load.own() < candidate.max_own && (is_lightly_loaded || has_own)
+        let has_own = load.own_in_flight() < candidate.share && requests < slots;
+        load.own_in_flight() < candidate.max_own && (is_lightly_loaded || has_own)
     }
 
     pub(crate) fn meets_deadline(
@@ -49,12 +49,12 @@
         needs: Requirements<'_>,
     ) -> bool {
         let (Some(first_event_within_ms), Some(reading)) =
-            (needs.first_event_within_ms, self.reading)
+            (needs.first_event_within_ms, self.prefill)
         else {
             return true;
         };
         let load = self.load(&candidate.id);
-        let unread = load.unread_tokens(now, reading.usual_prompt);
+        let unread = load.unread_tokens(now, reading.typical_prompt_tokens);
         let own = needs.prompt_tokens as f64;
         let first_event_ms = reading.first_event_ms(own, unread, load.requests(now));
         first_event_ms * self.slowness(now, candidate) <= first_event_within_ms as f64
@@ -65,10 +65,10 @@
         let load = self.load(&candidate.id);
         let slots = f64::from(candidate.slots.max(1));
         let requests = load.requests(now);
-        let busy = match self.reading {
+        let busy = match self.prefill {
             None => BUSY_COST_MS * requests / slots,
             Some(reading) => {
-                let unread = load.unread_tokens(now, reading.usual_prompt);
+                let unread = load.unread_tokens(now, reading.typical_prompt_tokens);
                 let first_ms = reading.first_event_ms(0.0, unread, requests);
                 first_ms * self.slowness(now, candidate) + BUSY_ENGINE_COST_MS * requests / slots
             }
@@ -83,10 +83,10 @@
     /// Returns whether the candidate is cheap enough to skip the search in other
     /// regions: at most one prompt of typical length is waiting there.
     pub fn is_good_enough(&self, now: Millis, candidate: &Candidate) -> bool {
-        let Some(reading) = self.reading else {
+        let Some(reading) = self.prefill else {
             return true;
         };
-        let one_prompt_ms = reading.first_event_ms(0.0, reading.usual_prompt, 1.0);
+        let one_prompt_ms = reading.first_event_ms(0.0, reading.typical_prompt_tokens, 1.0);
         self.cost_ms(now, candidate) <= one_prompt_ms + BUSY_ENGINE_COST_MS
     }
 }
--- a/crates/moleroad_dispatch/src/eligibility.rs
+++ b/crates/moleroad_dispatch/src/eligibility.rs
@@ -24,7 +24,7 @@
 
 /// Returns why `candidate` is not eligible for a request with these requirements;
 /// `None` if it is.
-pub fn barrier(candidate: &Candidate, needs: Requirements<'_>) -> Option<Exclusion> {
+pub fn exclusion(candidate: &Candidate, needs: Requirements<'_>) -> Option<Exclusion> {
     let is_allowed = |regions: &AllowedRegions| regions.contains(&candidate.region);
     if !needs.regions.is_none_or(is_allowed) {
         return Some(Exclusion::Region);
@@ -33,13 +33,16 @@
         return Some(Exclusion::Evacuated);
     }
     let is_older = |least| candidate.version.is_some_and(|version| version < least);
-    if needs.least.is_some_and(is_older) {
+    if needs.min_version.is_some_and(is_older) {
         return Some(Exclusion::OldWeights);
     }
     // A target that asked for a backoff is excluded rather than made expensive: with a
     // cost, it still got requests whenever all others were full or failing (69 of 144
     // requests under pressure, where one is permitted).
-    if candidate.rests_until.is_some_and(|until| needs.now < until) {
+    if candidate
+        .backoff_until
+        .is_some_and(|until| needs.now < until)
+    {
         return Some(Exclusion::BackingOff);
     }
     needs
@@ -58,25 +61,25 @@
     /// With weights that are too old.
     pub old_weights: usize,
     /// Asked this daemon to back off.
-    pub rests: usize,
+    pub backing_off: usize,
     /// Got the request before.
     pub tried: usize,
     /// Eligible.
-    pub open: usize,
+    pub eligible: usize,
 }
 
 /// Counts `candidates` by the reason why they are excluded from a request with these
 /// requirements.
-pub fn tally(candidates: &[Candidate], needs: Requirements<'_>) -> ExclusionCounts {
+pub fn count_exclusions(candidates: &[Candidate], needs: Requirements<'_>) -> ExclusionCounts {
     let mut tally = ExclusionCounts::default();
     for candidate in candidates {
-        match barrier(candidate, needs) {
+        match exclusion(candidate, needs) {
             Some(Exclusion::Region) => tally.region += 1,
             Some(Exclusion::Evacuated) => tally.evacuated += 1,
             Some(Exclusion::OldWeights) => tally.old_weights += 1,
-            Some(Exclusion::BackingOff) => tally.rests += 1,
+            Some(Exclusion::BackingOff) => tally.backing_off += 1,
             Some(Exclusion::Tried) => tally.tried += 1,
-            None => tally.open += 1,
+            None => tally.eligible += 1,
         }
     }
     tally
--- a/crates/moleroad_dispatch/src/health.rs
+++ b/crates/moleroad_dispatch/src/health.rs
@@ -11,7 +11,7 @@
     /// target.
     Abandoned,
     /// The target rejected the request without running it.
-    TurnedAway,
+    Rejected,
     /// The target answered with a failure.
     Failed,
     /// No connection was established.
@@ -63,7 +63,7 @@
                 self.avoidance_ms = 0;
                 self.avoided_until = Millis(0);
             }
-            Outcome::TurnedAway | Outcome::Failed => self.update_failure_rate(now, 1.0),
+            Outcome::Rejected | Outcome::Failed => self.update_failure_rate(now, 1.0),
             Outcome::Broken => {
                 self.update_failure_rate(now, 1.0);
                 self.consecutive_failures += 1;
--- a/crates/moleroad_dispatch/src/lib.rs
+++ b/crates/moleroad_dispatch/src/lib.rs
@@ -25,7 +25,7 @@
 //!
 //! let mut budget = SharedRetryBudget::new(RetryBudgetParams { ratio: 0.2, slack: 20.0, window_ms: 10_000 });
 //! budget.note_request(Millis(0));
-//! assert!(budget.take(Millis(1), 4));
+//! assert!(budget.try_take(Millis(1), 4));
 //! ```
 #![warn(missing_docs)]
 
@@ -52,13 +52,13 @@
 /// The types that most users of the crate need.
 pub mod prelude {
     pub use crate::admission::COLD_SLOWNESS;
-    pub use crate::backoff::{MAX_BACKOFF_MS, Responder, Rests, parse_retry_after_ms};
+    pub use crate::backoff::{MAX_BACKOFF_MS, Responder, TargetBackoffs, parse_retry_after_ms};
     pub use crate::budget::{RetryBudgetParams, SharedRetryBudget};
     pub use crate::candidate::{Candidate, Distance, Requirements};
     pub use crate::choice::{Choice, SearchScope};
     pub use crate::cold::{Admission, ColdEvidence, ColdSource, ColdTarget};
     pub use crate::division::{Division, SendTimes, quota_usable_from};
-    pub use crate::eligibility::{Exclusion, ExclusionCounts, barrier, tally};
+    pub use crate::eligibility::{Exclusion, ExclusionCounts, count_exclusions, exclusion};
     pub use crate::health::{Health, Outcome};
     pub use crate::limit::{LimitedTarget, MIN_PER_S, limit_bucket_params, owner};
     pub use crate::load::TargetLoad;
--- a/crates/moleroad_dispatch/src/load.rs
+++ b/crates/moleroad_dispatch/src/load.rs
@@ -73,7 +73,7 @@
     }
 
     /// Counts a prompt as prefilled: its answer has begun, or never will.
-    pub fn was_read(&mut self, tokens: u64) {
+    pub fn prompt_read(&mut self, tokens: u64) {
         self.own_unread = self.own_unread.saturating_sub(1);
         self.own_unread_tokens = self.own_unread_tokens.saturating_sub(tokens);
     }
@@ -85,7 +85,7 @@
 
     /// Records a report of the requests that the target has from all entries: those
     /// that are running, and those whose prompt is not prefilled yet.
-    pub fn reported(&mut self, now: Millis, running: u32, unread: u32) {
+    pub fn record_report(&mut self, now: Millis, running: u32, unread: u32) {
         self.agent_backoff_until = Millis(0);
         self.consecutive_timeouts = 0;
         self.sent = 0;
@@ -123,7 +123,7 @@
 
     /// Returns whether the agent did not answer the last query, so that the path to the
     /// target may be congested.
-    pub fn is_silent(&self, now: Millis) -> bool {
+    pub fn is_unresponsive(&self, now: Millis) -> bool {
         self.consecutive_timeouts(now) > 0
     }
 
@@ -188,7 +188,7 @@
     }
 
     /// Returns the number of requests in flight from this entry.
-    pub fn own(&self) -> u32 {
+    pub fn own_in_flight(&self) -> u32 {
         self.own
     }
 
--- a/crates/moleroad_dispatch/src/overdue_share.rs
+++ b/crates/moleroad_dispatch/src/overdue_share.rs
@@ -37,12 +37,12 @@
 
 impl OverdueShare {
     /// Records that a request found a slot in time.
-    pub fn in_time_placed(&mut self) {
+    pub fn record_hit(&mut self) {
         self.share = (self.share + INCREASE_STEP).min(MAX_SHARE);
     }
 
     /// Records that a request found no slot in time.
-    pub fn in_time_missed(&mut self) {
+    pub fn record_miss(&mut self) {
         if self.running_in(&AllowedRegions::all()) > 0 {
             self.share = (self.share * DECREASE_FACTOR).max(MIN_SHARE);
         }
--- a/crates/moleroad_dispatch/src/prefill.rs
+++ b/crates/moleroad_dispatch/src/prefill.rs
@@ -6,7 +6,7 @@
     /// Prompt tokens prefilled per millisecond.
     pub tokens_per_ms: f64,
     /// Number of tokens in a typical prompt.
-    pub usual_prompt: f64,
+    pub typical_prompt_tokens: f64,
     /// Duration of the generation steps of one pass, in milliseconds; the first event
     /// of a prefilled prompt comes after them.
     pub steps_ms: f64,
--- a/crates/moleroad_dispatch/src/queue.rs
+++ b/crates/moleroad_dispatch/src/queue.rs
@@ -21,15 +21,15 @@
     /// Identifier.
     pub id: WaiterId,
     /// Urgency class.
-    pub line: WaitClass,
+    pub class: WaitClass,
     /// Priority; 0 is the most urgent.
     pub priority: u8,
     /// When it began to wait.
     pub since: Millis,
     /// Latest time at which a slot still meets its latency target.
-    pub wanted_by: Millis,
+    pub latency_deadline: Millis,
     /// Time from which on a slot is of no use.
-    pub until: Millis,
+    pub expires_at: Millis,
     /// Regions in which it may be served.
     pub regions: AllowedRegions,
 }
@@ -72,7 +72,8 @@
     /// with these regions could use. Requests allowed in fewer regions are not counted,
     /// since they may be waiting for other slots.
     pub fn count_ahead(&self, line: WaitClass, regions: &AllowedRegions) -> usize {
-        let is_ahead = |waiter: &&Waiter| waiter.line == line && waiter.regions.covers(regions);
+        let is_ahead =
+            |waiter: &&Waiter| waiter.class == line && waiter.regions.is_superset(regions);
         self.waiters.iter().filter(is_ahead).count()
     }
 
@@ -90,7 +91,8 @@
     /// passed, by priority and waiting time. Requests that may only be served in
     /// regions that are `full` are skipped.
     pub fn next(&self, now: Millis, full: &[AllowedRegions]) -> Option<WaiterId> {
-        let has_room = |waiter: &&Waiter| !full.iter().any(|full| full.covers(&waiter.regions));
+        let has_room =
+            |waiter: &&Waiter| !full.iter().any(|full| full.is_superset(&waiter.regions));
         let candidates = self.unexpired(now).filter(has_room);
         let first = candidates.min_by_key(|waiter| rank(now, waiter));
         first.map(|waiter| waiter.id)
@@ -104,26 +106,31 @@
         };
         let same_line = self
             .unexpired(now)
-            .filter(|waiter| waiter.line == own.line && waiter.regions.covers(&own.regions));
+            .filter(|waiter| waiter.class == own.class && waiter.regions.is_superset(&own.regions));
         let before = same_line.filter(|waiter| rank(now, waiter) < rank(now, own));
         before.count() < count
     }
 
     fn unexpired(&self, now: Millis) -> impl Iterator<Item = &Waiter> {
-        self.waiters.iter().filter(move |waiter| now < waiter.until)
+        self.waiters
+            .iter()
+            .filter(move |waiter| now < waiter.expires_at)
     }
 
     /// Returns the requests that have expired at `now`.
     pub fn expired(&self, now: Millis) -> Vec<WaiterId> {
-        let over = self.waiters.iter().filter(|waiter| now >= waiter.until);
+        let over = self
+            .waiters
+            .iter()
+            .filter(|waiter| now >= waiter.expires_at);
         over.map(|waiter| waiter.id).collect()
     }
 }
 
 fn rank(now: Millis, waiter: &Waiter) -> (WaitClass, bool, u8, Millis, u64) {
-    let late = now > waiter.wanted_by;
+    let late = now > waiter.latency_deadline;
     (
-        waiter.line,
+        waiter.class,
         late,
         waiter.priority,
         waiter.since,
--- a/crates/moleroad_dispatch/src/rate_bound.rs
+++ b/crates/moleroad_dispatch/src/rate_bound.rs
@@ -52,7 +52,7 @@
 
     /// Returns the token bucket parameters; `None` if not even one request may arrive
     /// in a second.
-    pub fn terms(self) -> Option<BucketParams> {
+    pub fn bucket_params(self) -> Option<BucketParams> {
         let whole_requests = self.whole_requests();
         if whole_requests < 1.0 || self.requests_per_s <= 0.0 {
             return None;
@@ -140,14 +140,14 @@
     }
 
     /// Returns the number of grants available now.
-    pub fn free(&mut self, now: Millis) -> u32 {
+    pub fn available(&mut self, now: Millis) -> u32 {
         self.refill(now);
         self.tokens as u32
     }
 
     /// Discards all tokens up to `now`: the owner was suspended, and entries that hold
     /// its grants may have been suspended too.
-    pub fn empty(&mut self, now: Millis) {
+    pub fn drain(&mut self, now: Millis) {
         self.tokens = 0.0;
         self.refilled_at = self.refilled_at.max(now);
     }
--- a/crates/moleroad_dispatch/src/targets.rs
+++ b/crates/moleroad_dispatch/src/targets.rs
@@ -2,7 +2,7 @@
 
 use crate::candidate::{Candidate, Requirements};
 use crate::division::SendTimes;
-use crate::eligibility::{Exclusion, barrier};
+use crate::eligibility::{Exclusion, exclusion};
 use crate::health::Outcome;
 use crate::load::TargetLoad;
 use crate::prefill::PrefillSpeed;
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Targets {
     /// Prefill speed of the engines; `None` for targets that are not engines.
-    pub reading: Option<PrefillSpeed>,
+    pub prefill: Option<PrefillSpeed>,
     /// Whether failing targets are used as if they were healthy.
     pub ignores_failures: bool,
     pub(crate) candidates: Vec<Candidate>,
@@ -39,7 +39,7 @@
     /// Replaces the list of targets; keeps the load of those that remain.
     pub fn set(&mut self, candidates: Vec<Candidate>) {
         self.loads.retain(|id, load| {
-            load.own() > 0 || candidates.iter().any(|candidate| candidate.id == *id)
+            load.own_in_flight() > 0 || candidates.iter().any(|candidate| candidate.id == *id)
         });
         self.candidates = candidates;
     }
@@ -57,7 +57,7 @@
 
     /// Returns the number of slots of all targets in these regions that are outside
     /// evacuated halls.
-    pub fn places(&self, regions: &AllowedRegions) -> u32 {
+    pub fn total_slots(&self, regions: &AllowedRegions) -> u32 {
         let open = self
             .candidates
             .iter()
@@ -68,27 +68,29 @@
     /// Returns whether any target is eligible for a request with these requirements,
     /// now or once it has a free slot.
     pub fn any_eligible(&self, needs: Requirements<'_>) -> bool {
-        let serves = |candidate: &Candidate| barrier(candidate, needs).is_none();
+        let serves = |candidate: &Candidate| exclusion(candidate, needs).is_none();
         self.candidates.iter().any(serves)
     }
 
     /// Returns when the first backoff ends if nothing but backoffs keeps a request with
     /// these requirements waiting; `None` if a target is eligible now, or none is
     /// backing off.
-    pub fn rested_at(&self, needs: Requirements<'_>) -> Option<BackoffEnds> {
+    pub fn backoff_ends(&self, needs: Requirements<'_>) -> Option<BackoffEnds> {
         if self.any_eligible(needs) {
             return None;
         }
         let is_backing_off =
-            |candidate: &&Candidate| barrier(candidate, needs) == Some(Exclusion::BackingOff);
+            |candidate: &&Candidate| exclusion(candidate, needs) == Some(Exclusion::BackingOff);
         let backing_off = || self.candidates.iter().filter(is_backing_off);
         let is_untried = |candidate: &&Candidate| !needs.tried.contains(&candidate.id);
         let untried = backing_off().filter(is_untried);
         Some(BackoffEnds {
             any: backing_off()
-                .filter_map(|candidate| candidate.rests_until)
+                .filter_map(|candidate| candidate.backoff_until)
                 .min()?,
-            untried: untried.filter_map(|candidate| candidate.rests_until).min(),
+            untried: untried
+                .filter_map(|candidate| candidate.backoff_until)
+                .min(),
         })
     }
 
@@ -96,29 +98,29 @@
     pub fn set_backoff(&mut self, id: &TargetId, until: Option<Millis>) {
         let candidates = self.candidates.iter_mut();
         for candidate in candidates.filter(|candidate| candidate.id == *id) {
-            candidate.rests_until = until;
+            candidate.backoff_until = until;
         }
     }
 
     /// Returns whether any eligible target is reachable.
     pub fn any_reachable(&self, now: Millis, needs: Requirements<'_>) -> bool {
         let serves = |candidate: &Candidate| {
-            let is_open = barrier(candidate, needs).is_none();
+            let is_open = exclusion(candidate, needs).is_none();
             is_open && !self.load(&candidate.id).health.is_unreachable(now)
         };
         self.candidates.iter().any(serves)
     }
 
     /// Returns whether this target is eligible for a request with these requirements.
-    pub fn is_open(&self, id: &TargetId, needs: Requirements<'_>) -> bool {
+    pub fn is_eligible(&self, id: &TargetId, needs: Requirements<'_>) -> bool {
         let candidate = self.candidate(id);
-        candidate.is_some_and(|candidate| barrier(candidate, needs).is_none())
+        candidate.is_some_and(|candidate| exclusion(candidate, needs).is_none())
     }
 
     /// Returns whether all targets in the allowed regions are in evacuated halls, so
     /// that waiting for a slot is pointless.
     pub fn all_evacuated(&self, needs: Requirements<'_>) -> bool {
-        let barriers = self.candidates.iter().map(|c| barrier(c, needs));
+        let barriers = self.candidates.iter().map(|c| exclusion(c, needs));
         let mut in_region = barriers
             .filter(|b| *b != Some(Exclusion::Region))
             .peekable();
@@ -146,9 +148,9 @@
     }
 
     /// Counts a prompt as prefilled: its answer has begun, or never will.
-    pub fn was_read(&mut self, id: &TargetId, tokens: u64) {
+    pub fn prompt_read(&mut self, id: &TargetId, tokens: u64) {
         if let Some(load) = self.loads.get_mut(id) {
-            load.was_read(tokens);
+            load.prompt_read(tokens);
         }
     }
 
@@ -161,14 +163,14 @@
     }
 
     /// Records an agent's report of a target's load.
-    pub fn reported(&mut self, now: Millis, id: &TargetId, running: u32, unread: u32) {
+    pub fn record_report(&mut self, now: Millis, id: &TargetId, running: u32, unread: u32) {
         let load = self.loads.entry(id.clone()).or_default();
-        load.reported(now, running, unread);
+        load.record_report(now, running, unread);
     }
 
     /// Returns whether the targets are engines whose agents can be queried.
     pub fn have_agents(&self) -> bool {
-        self.reading.is_some() && self.candidates.iter().any(|c| c.agent.is_some())
+        self.prefill.is_some() && self.candidates.iter().any(|c| c.agent.is_some())
     }
 
     /// Returns whether a target can only be used after querying other daemons: the
@@ -191,7 +193,7 @@
     }
 
     /// Returns the number of free slots over all usable targets of these regions.
-    pub fn free_places(&self, now: Millis, regions: &AllowedRegions) -> f64 {
+    pub fn free_slots(&self, now: Millis, regions: &AllowedRegions) -> f64 {
         let free = |candidate: &Candidate| {
             let load = self.load(&candidate.id);
             (f64::from(candidate.slots) - load.requests(now)).max(0.0)
@@ -200,7 +202,7 @@
             .candidates
             .iter()
             .filter(|candidate| !candidate.switching && !candidate.evacuated)
-            .filter(|candidate| candidate.rests_until.is_none_or(|until| until <= now))
+            .filter(|candidate| candidate.backoff_until.is_none_or(|until| until <= now))
             .filter(|candidate| regions.contains(&candidate.region));
         usable.map(free).sum()
     }
--- a/crates/moleroad_dispatch/src/wait_estimate.rs
+++ b/crates/moleroad_dispatch/src/wait_estimate.rs
@@ -32,14 +32,14 @@
 
 impl WaitEstimator {
     /// Records that a request begins to wait behind `ahead` others.
-    pub fn entered(&mut self, now: Millis, ahead: usize) {
+    pub fn record_enqueued(&mut self, now: Millis, ahead: usize) {
         if ahead == 0 {
             self.interval_start = now;
         }
     }
 
     /// Records that a waiting request got a slot.
-    pub fn granted(&mut self, now: Millis) {
+    pub fn record_granted(&mut self, now: Millis) {
         let interval_ms = now.since(self.interval_start) as f64;
         self.interval_ms += (interval_ms - self.interval_ms) * NEWEST_WEIGHT;
         self.interval_start = now;
--- a/crates/moleroad_dispatch/tests/cold_admission.rs
+++ b/crates/moleroad_dispatch/tests/cold_admission.rs
@@ -13,10 +13,10 @@
         bound: RateBound::new(15.0, 1.5, 5.0),
         until: Millis(5_000),
         source: ColdSource::Heartbeat,
-        said_until: Millis(5_000),
-        lasts_ms: 3_000,
+        reported_until: Millis(5_000),
+        cold_duration_ms: 3_000,
         requires_grant,
-        part,
+        quota: part,
         quota_from: Millis(0),
     }
 }
@@ -47,30 +47,30 @@
     let warm = target(None);
     let turned = target(Some(cold(true, 0)));
     let now = Millis(4_000);
-    assert!(with(&warm).may_begin(now, &warm));
-    assert!(!with(&turned).may_begin(now, &warm));
-    assert!(!with(&turned).may_begin(now, &turned));
-    assert!(with(&turned).may_begin(now, &granted(&turned, 4_000)));
-    assert!(!with(&turned).may_begin(now, &granted(&turned, 3_999)));
+    assert!(with(&warm).may_still_send(now, &warm));
+    assert!(!with(&turned).may_still_send(now, &warm));
+    assert!(!with(&turned).may_still_send(now, &turned));
+    assert!(with(&turned).may_still_send(now, &granted(&turned, 4_000)));
+    assert!(!with(&turned).may_still_send(now, &granted(&turned, 3_999)));
     // It is no longer cold.
-    assert!(with(&turned).may_begin(Millis(5_000), &warm));
+    assert!(with(&turned).may_still_send(Millis(5_000), &warm));
 }
 
 #[test]
 fn what_its_agent_said_meanwhile_counts() {
     let known = target(Some(cold(true, 0)));
     let mut targets = with(&known);
-    assert!(targets.may_begin(Millis(6_000), &known));
+    assert!(targets.may_still_send(Millis(6_000), &known));
     targets.agent_reported_cold(&known.id, Millis(7_000));
-    assert!(!targets.may_begin(Millis(6_000), &known));
+    assert!(!targets.may_still_send(Millis(6_000), &known));
 }
 
 #[test]
 fn a_target_that_is_no_longer_listed_gets_nothing() {
     let warm = target(None);
     let targets = Targets::default();
-    assert!(!targets.may_begin(Millis(4_000), &warm));
-    assert!(!targets.may_begin(Millis(4_000), &granted(&warm, 4_100)));
+    assert!(!targets.may_still_send(Millis(4_000), &warm));
+    assert!(!targets.may_still_send(Millis(4_000), &granted(&warm, 4_100)));
 }
 
 #[test]
@@ -78,14 +78,14 @@
     let (warm, owned) = (target(None), target(Some(cold(false, 1))));
     let mut targets = with(&owned);
     targets.started(Millis(4_000), &owned.id, 0);
-    assert!(!targets.may_begin(Millis(4_000), &warm));
-    assert!(targets.may_begin(Millis(4_000), &granted(&owned, 4_100)));
+    assert!(!targets.may_still_send(Millis(4_000), &warm));
+    assert!(targets.may_still_send(Millis(4_000), &granted(&owned, 4_100)));
     // Meanwhile the quota belongs to another entry.
     let foreign = target(Some(cold(false, 0)));
-    assert!(!with(&foreign).may_begin(Millis(4_000), &granted(&owned, 4_100)));
+    assert!(!with(&foreign).may_still_send(Millis(4_000), &granted(&owned, 4_100)));
     // A quota reservation is not a grant.
     let requires_grant = target(Some(cold(true, 0)));
-    assert!(!with(&requires_grant).may_begin(Millis(4_000), &granted(&owned, 4_100)));
+    assert!(!with(&requires_grant).may_still_send(Millis(4_000), &granted(&owned, 4_100)));
 }
 
 /// Returns the source of the cold state, and the remaining time that an entry passes on
@@ -93,9 +93,9 @@
 /// and that reported `left_ms` before that.
 fn passed_on_after_restore(left_ms: u64) -> (ColdSource, u64) {
     let news = ColdEvidence {
-        lasts_ms: 3_000,
+        cold_duration_ms: 3_000,
         first_heard: Millis(0),
-        heard: Millis(900),
+        last_heartbeat: Millis(900),
         left_ms,
         restored: Some(Millis(1_000)),
     };
@@ -103,7 +103,7 @@
     let target = ColdTarget {
         until,
         source,
-        said_until: news.said_until(),
+        reported_until: news.reported_until(),
         ..cold(true, 0)
     };
     assert_eq!(until, Millis(4_000));
@@ -121,7 +121,7 @@
     let owned = target(Some(cold(false, 1)));
     let mut targets = with(&owned);
     targets.started(Millis(3_000), &owned.id, 0);
-    targets.was_read(&owned.id, 0);
+    targets.prompt_read(&owned.id, 0);
     targets.finished(Millis(3_010), &owned.id, Outcome::Answered);
     targets.set(Vec::new());
     targets.set(vec![owned.clone()]);
--- a/crates/moleroad_dispatch/tests/dispatch.rs
+++ b/crates/moleroad_dispatch/tests/dispatch.rs
@@ -41,13 +41,13 @@
 fn a_full_set_of_targets_makes_requests_wait() {
     let mut targets = near_and_far();
     for name in ["near", "far"] {
-        targets.reported(Millis(0), &TargetId::new(name), 4, 0);
+        targets.record_report(Millis(0), &TargetId::new(name), 4, 0);
     }
     assert_eq!(
         targets.choose(Millis(1), Requirements::default(), 0),
         Choice::Full
     );
-    assert_eq!(targets.free_places(Millis(1), &AllowedRegions::all()), 0.0);
+    assert_eq!(targets.free_slots(Millis(1), &AllowedRegions::all()), 0.0);
     // An old report loses weight.
     assert!(matches!(
         targets.choose(Millis(5_000), Requirements::default(), 0),
@@ -59,7 +59,7 @@
 fn what_others_have_in_flight_is_what_was_reported_beyond_ones_own() {
     let mut load = TargetLoad::default();
     load.started(Millis(0), 0);
-    load.reported(Millis(0), 2, 1);
+    load.record_report(Millis(0), 2, 1);
     assert_eq!(load.requests(Millis(10)), 3.0);
     load.started(Millis(0), 0);
     assert_eq!(load.requests(Millis(10)), 4.0);
@@ -73,7 +73,7 @@
     let mut targets = near_and_far();
     for _ in 0..2 {
         targets.started(Millis(0), &TargetId::new("near"), 0);
-        targets.finished(Millis(1), &TargetId::new("near"), Outcome::TurnedAway);
+        targets.finished(Millis(1), &TargetId::new("near"), Outcome::Rejected);
     }
     assert_eq!(chosen(&targets, 2).as_deref(), Some("far"));
 }
@@ -105,11 +105,11 @@
 #[test]
 fn a_target_below_the_wanted_version_gets_nothing() {
     let version_2 = Requirements {
-        least: Some(2),
+        min_version: Some(2),
         ..Requirements::default()
     };
     let mut targets = near_and_far();
-    assert_eq!(targets.choose(Millis(0), version_2, 0), Choice::Nobody);
+    assert_eq!(targets.choose(Millis(0), version_2, 0), Choice::NoTarget);
     let mut newer = candidate("far", Distance::OtherRegion);
     newer.version = Some(2);
     targets.set(vec![candidate("near", Distance::SameHall), newer]);
@@ -140,12 +140,12 @@
 
 fn waiter(id: u64, priority: u8, since: u64, wanted_by: u64) -> Waiter {
     Waiter {
-        line: WaitClass::InTime,
+        class: WaitClass::InTime,
         id: WaiterId(id),
         priority,
         since: Millis(since),
-        wanted_by: Millis(wanted_by),
-        until: Millis(1_000),
+        latency_deadline: Millis(wanted_by),
+        expires_at: Millis(1_000),
         regions: AllowedRegions::all(),
     }
 }
@@ -193,7 +193,7 @@
             budget.note_request(Millis(now));
             taken.push((now, false));
         }
-        if budget.take(Millis(now), entries) {
+        if budget.try_take(Millis(now), entries) {
             taken.push((now, true));
         }
     }
@@ -215,9 +215,9 @@
 #[test]
 fn prompts_that_wait_weigh_more_than_requests_that_run() {
     let mut targets = Targets::default();
-    targets.reading = Some(PrefillSpeed {
+    targets.prefill = Some(PrefillSpeed {
         tokens_per_ms: 30.0,
-        usual_prompt: 1_000.0,
+        typical_prompt_tokens: 1_000.0,
         steps_ms: 50.0,
         tokens_per_pass: 2_000.0,
     });
@@ -228,21 +228,21 @@
     targets.started(Millis(0), &TargetId::new("reading"), 3_000);
     for _ in 0..2 {
         targets.started(Millis(0), &TargetId::new("running"), 3_000);
-        targets.was_read(&TargetId::new("running"), 3_000);
+        targets.prompt_read(&TargetId::new("running"), 3_000);
     }
     assert_eq!(chosen(&targets, 0).as_deref(), Some("running"));
     // Prompts of other entries count with the typical length.
-    targets.reported(Millis(0), &TargetId::new("running"), 2, 1);
-    targets.was_read(&TargetId::new("reading"), 3_000);
+    targets.record_report(Millis(0), &TargetId::new("running"), 2, 1);
+    targets.prompt_read(&TargetId::new("reading"), 3_000);
     assert_eq!(chosen(&targets, 0).as_deref(), Some("reading"));
 }
 
 #[test]
 fn a_target_that_cannot_answer_in_time_is_passed_over() {
     let mut targets = Targets::default();
-    targets.reading = Some(PrefillSpeed {
+    targets.prefill = Some(PrefillSpeed {
         tokens_per_ms: 10.0,
-        usual_prompt: 1_000.0,
+        typical_prompt_tokens: 1_000.0,
         steps_ms: 50.0,
         tokens_per_pass: 2_000.0,
     });
@@ -330,14 +330,14 @@
             Choice::Send(_)
         )
     };
-    targets.reported(Millis(0), &id, 6, 0);
+    targets.record_report(Millis(0), &id, 6, 0);
     assert!(takes(&targets), "it is not nearly full");
-    targets.reported(Millis(0), &id, 8, 0);
+    targets.record_report(Millis(0), &id, 8, 0);
     assert!(takes(&targets), "one of the last slots is its own");
     targets.started(Millis(1), &id, 0);
     assert!(!takes(&targets), "its own slot is used");
     targets.finished(Millis(1), &id, Outcome::Answered);
-    targets.reported(Millis(1), &id, 11, 0);
+    targets.record_report(Millis(1), &id, 11, 0);
     assert!(!takes(&targets), "the target has more requests than slots");
 }
 
@@ -348,9 +348,9 @@
     fresh.max_own = 100;
     fresh.share = 2;
     let mut targets = Targets::default();
-    targets.reading = Some(PrefillSpeed {
+    targets.prefill = Some(PrefillSpeed {
         tokens_per_ms: 30.0,
-        usual_prompt: 1_000.0,
+        typical_prompt_tokens: 1_000.0,
         steps_ms: 50.0,
         tokens_per_pass: 2_000.0,
     });
@@ -366,7 +366,7 @@
     }
     assert!(!takes(&targets, 10));
     // A report, or enough time for one, makes room for more.
-    targets.reported(Millis(20), &id, 2, 0);
+    targets.record_report(Millis(20), &id, 2, 0);
     assert!(takes(&targets, 20));
 }
 
@@ -386,7 +386,7 @@
     );
     for (index, name) in names.iter().enumerate() {
         let running = 3 + (index as u32 * 7) % 6;
-        targets.reported(Millis(0), &TargetId::new(name), running, 0);
+        targets.record_report(Millis(0), &TargetId::new(name), running, 0);
     }
     // Each of 40 entries decides on the same reports with its own random value.
     let mut sent = std::collections::BTreeMap::<String, u32>::new();
--- a/crates/moleroad_dispatch/tests/engines.rs
+++ b/crates/moleroad_dispatch/tests/engines.rs
@@ -8,7 +8,7 @@
 
 const READING: PrefillSpeed = PrefillSpeed {
     tokens_per_ms: 30.0,
-    usual_prompt: 900.0,
+    typical_prompt_tokens: 900.0,
     steps_ms: 40.0,
     tokens_per_pass: 2_048.0,
 };
@@ -35,7 +35,7 @@
     let near = (0..6).map(|index| engine(&format!("near-{index}"), Distance::SameHall));
     let far = (0..4).map(|index| engine(&format!("far-{index}"), Distance::OtherRegion));
     let mut targets = Targets::default();
-    targets.reading = Some(READING);
+    targets.prefill = Some(READING);
     targets.set(near.chain(far).collect());
     targets
 }
@@ -72,16 +72,16 @@
     let mut targets = engines();
     let only = [engine("near-0", Distance::SameHall)];
     let id = &only[0].id;
-    targets.reported(Millis(0), id, 14, 0);
+    targets.record_report(Millis(0), id, 14, 0);
     // Beyond its own two slots, an entry sends only on a current report.
     targets.started(Millis(0), id, 100);
     targets.started(Millis(0), id, 100);
-    targets.reported(Millis(10), id, 14, 0);
+    targets.record_report(Millis(10), id, 14, 0);
     let best =
         |targets: &Targets, now| targets.best_of(Millis(now), Requirements::default(), &only);
     assert!(best(&targets, 20).is_some());
     assert!(best(&targets, 200).is_none());
-    targets.reported(Millis(300), id, 16, 0);
+    targets.record_report(Millis(300), id, 16, 0);
     assert!(best(&targets, 301).is_none(), "no slot is free");
 }
 
@@ -92,7 +92,7 @@
         .map(|index| engine(&format!("near-{index}"), Distance::SameHall))
         .collect();
     for (candidate, queued) in looked_at.iter().zip([2, 0, 1]) {
-        targets.reported(Millis(0), &candidate.id, 8, queued);
+        targets.record_report(Millis(0), &candidate.id, 8, queued);
     }
     let best = targets.best_of(Millis(1), Requirements::default(), &looked_at);
     let best = best.expect("slots are free");
@@ -109,7 +109,7 @@
     assert!(targets.load(&id).agent_is_backed_off(Millis(299)));
     assert!(!targets.load(&id).agent_is_backed_off(Millis(300)));
     targets.agent_timed_out(Millis(400), &id);
-    targets.reported(Millis(410), &id, 0, 0);
+    targets.record_report(Millis(410), &id, 0, 0);
     assert!(!targets.load(&id).agent_is_backed_off(Millis(420)));
 }
 
@@ -139,7 +139,7 @@
         1_310
     ));
     // A target that answers, even with a failure, is reachable.
-    for outcome in [Answered, Failed, Broken, TurnedAway] {
+    for outcome in [Answered, Failed, Broken, Rejected] {
         assert!(is_reachable(&[failing[0], failing[1], (455, outcome)], 460));
     }
     assert!(!is_reachable(
@@ -153,18 +153,18 @@
     let mut targets = engines();
     let looked_at = [0, 1].map(|index| engine(&format!("near-{index}"), Distance::SameHall));
     let [silent, busy] = [&looked_at[0].id, &looked_at[1].id];
-    targets.reported(Millis(0), silent, 4, 0);
+    targets.record_report(Millis(0), silent, 4, 0);
     // Its report has expired, while an engine with some load answers.
     for at in [5_000, 5_300, 5_600] {
         targets.agent_timed_out(Millis(at), silent);
     }
-    targets.reported(Millis(5_600), busy, 8, 1);
+    targets.record_report(Millis(5_600), busy, 8, 1);
     let best = |targets: &Targets| {
         let best = targets.best_of(Millis(5_601), Requirements::default(), &looked_at);
         best.map(|candidate| candidate.id)
     };
     assert_eq!(best(&targets).as_ref(), Some(busy));
-    targets.reported(Millis(5_601), silent, 4, 0);
+    targets.record_report(Millis(5_601), silent, 4, 0);
     assert_eq!(
         best(&targets).as_ref(),
         Some(silent),
@@ -183,7 +183,7 @@
     let mut targets = engines();
     let looked_at = [0, 1].map(|index| engine(&format!("near-{index}"), Distance::SameHall));
     let [silent, full] = [&looked_at[0].id, &looked_at[1].id];
-    targets.reported(Millis(300), full, 16, 4);
+    targets.record_report(Millis(300), full, 16, 4);
     let sent = |targets: &Targets, looked_at: &[Candidate]| {
         let best = targets.best_of(Millis(301), Requirements::default(), looked_at);
         best.map(|candidate| candidate.id)
@@ -207,7 +207,7 @@
         Some(silent),
         "all candidates are presumed unreachable"
     );
-    targets.reported(Millis(301), silent, 0, 0);
+    targets.record_report(Millis(301), silent, 0, 0);
     assert_eq!(
         sent(&targets, &looked_at).as_ref(),
         Some(silent),
@@ -249,7 +249,7 @@
         targets.agent_timed_out(Millis(at), silent);
     }
     let sent = |targets: &mut Targets, now| {
-        targets.reported(Millis(now), full, 16, 4);
+        targets.record_report(Millis(now), full, 16, 4);
         let best = targets.best_of(Millis(now), Requirements::default(), &looked_at);
         best.map(|candidate| candidate.id)
     };
--- a/crates/moleroad_dispatch/tests/limit.rs
+++ b/crates/moleroad_dispatch/tests/limit.rs
@@ -109,15 +109,15 @@
     );
     let targets = with(&[&limited]);
     assert_eq!(targets.admission(now, &limited), Admission::Grant);
-    assert!(!targets.may_begin(now, &limited), "without a grant");
+    assert!(!targets.may_still_send(now, &limited), "without a grant");
     assert!(
-        !targets.may_begin(now, &free),
+        !targets.may_still_send(now, &free),
         "chosen before the limit was known"
     );
-    assert!(targets.may_begin(now, &granted(1_000)));
-    assert!(!targets.may_begin(now, &granted(999)), "lapsed");
+    assert!(targets.may_still_send(now, &granted(1_000)));
+    assert!(!targets.may_still_send(now, &granted(999)), "lapsed");
     // The target no longer names a limit.
-    assert!(with(&[&free]).may_begin(now, &limited));
+    assert!(with(&[&free]).may_still_send(now, &limited));
 }
 
 #[test]
@@ -126,10 +126,10 @@
         bound: RateBound::new(15.0, 1.5, 5.0),
         until: Millis(5_000),
         source: ColdSource::Heartbeat,
-        said_until: Millis(5_000),
-        lasts_ms: 3_000,
+        reported_until: Millis(5_000),
+        cold_duration_ms: 3_000,
         requires_grant: false,
-        part: 1,
+        quota: 1,
         quota_from: Millis(0),
     };
     let both = Candidate {
@@ -145,18 +145,18 @@
         granted_until: Some(Millis(1_100)),
         ..both.clone()
     };
-    assert!(targets.may_begin(now, &granted));
+    assert!(targets.may_still_send(now, &granted));
     let as_cold_alone = Candidate {
         limit: None,
         ..granted.clone()
     };
-    assert!(!targets.may_begin(now, &as_cold_alone));
-    let foreign = ColdTarget { part: 0, ..cold };
+    assert!(!targets.may_still_send(now, &as_cold_alone));
+    let foreign = ColdTarget { quota: 0, ..cold };
     let foreign = Candidate {
         cold: Some(Arc::new(foreign)),
         ..both
     };
-    assert!(!with(&[&foreign]).may_begin(now, &granted));
+    assert!(!with(&[&foreign]).may_still_send(now, &granted));
 }
 
 #[test]
@@ -171,7 +171,7 @@
         };
         assert_eq!(chosen.id, free.id);
     }
-    let asked = |targets: &Targets| targets.on_grant(now, needs, 1);
+    let asked = |targets: &Targets| targets.grant_candidates(now, needs, 1);
     assert_eq!(asked(&targets).len(), 1);
     assert_eq!(asked(&targets)[0].id, limited.id);
     (0..8).for_each(|_| targets.started(now, &limited.id, 0));
--- a/crates/moleroad_dispatch/tests/overdue.rs
+++ b/crates/moleroad_dispatch/tests/overdue.rs
@@ -9,12 +9,12 @@
 
 fn waiter(id: u64, line: WaitClass, since: u64) -> Waiter {
     Waiter {
-        line,
+        class: line,
         id: WaiterId(id),
         priority: 1,
         since: Millis(since),
-        wanted_by: Millis(5_000),
-        until: Millis(5_000),
+        latency_deadline: Millis(5_000),
+        expires_at: Millis(5_000),
         regions: AllowedRegions::all(),
     }
 }
@@ -41,9 +41,9 @@
 #[test]
 fn the_expected_wait_follows_the_pace_at_which_places_come() {
     let mut pace = WaitEstimator::default();
-    pace.entered(Millis(0), 0);
+    pace.record_enqueued(Millis(0), 0);
     for at in 1..=20 {
-        pace.granted(Millis(at * 300));
+        pace.record_granted(Millis(at * 300));
     }
     let alone = pace.expected_wait_ms(Millis(6_000), 0);
     assert!((250.0..=300.0).contains(&alone), "{alone}");
@@ -54,8 +54,8 @@
 #[test]
 fn without_places_nobody_more_is_held() {
     let mut pace = WaitEstimator::default();
-    pace.entered(Millis(0), 0);
-    pace.entered(Millis(50), 1);
+    pace.record_enqueued(Millis(0), 0);
+    pace.record_enqueued(Millis(50), 1);
     assert!(pace.expected_wait_ms(Millis(100), 2) < 1_000.0);
     // Two seconds without a slot: the third request would wait six.
     assert!(pace.expected_wait_ms(Millis(2_000), 2) >= 6_000.0);
@@ -65,7 +65,7 @@
 
 fn at_least(version: u64) -> Requirements<'static> {
     Requirements {
-        least: Some(version),
+        min_version: Some(version),
         ..Requirements::default()
     }
 }
@@ -78,7 +78,7 @@
         ..support::target("engine", 3)
     }]);
     let overdue = Requirements {
-        spare: 1,
+        reserved_slots: 1,
         ..Requirements::default()
     };
     let engine = TargetId::new("engine");
@@ -94,7 +94,7 @@
         targets.choose(Millis(0), in_time, 0),
         Choice::Send(_)
     ));
-    assert_eq!(targets.places(&AllowedRegions::all()), 3);
+    assert_eq!(targets.total_slots(&AllowedRegions::all()), 3);
     assert!(targets.any_eligible(at_least(4)));
     assert!(!targets.any_eligible(at_least(5)));
 }
@@ -108,7 +108,7 @@
         share.started(&Region::new("r"));
     }
     assert!(!share.admits(10.0, &AllowedRegions::all()));
-    (0..8).for_each(|_| share.in_time_missed());
+    (0..8).for_each(|_| share.record_miss());
     share.ended(&Region::new("r"));
     assert!(!share.admits(10.0, &AllowedRegions::all()));
     // One may always run.
@@ -117,9 +117,9 @@
     assert!(share.admits(10.0, &AllowedRegions::all()));
     // No overdue request is running, so that the miss is not caused by one.
     let before = share.clone();
-    share.in_time_missed();
+    share.record_miss();
     assert_eq!(share, before);
-    (0..100).for_each(|_| share.in_time_placed());
+    (0..100).for_each(|_| share.record_hit());
     (0..2).for_each(|_| share.started(&Region::new("r")));
     assert!(share.admits(10.0, &AllowedRegions::all()));
 }
--- a/crates/moleroad_dispatch/tests/rate_bound.rs
+++ b/crates/moleroad_dispatch/tests/rate_bound.rs
@@ -127,7 +127,7 @@
         slack in 0.0..10.0_f64,
     ) {
         for bound in [usual(), RateBound::new(rate, overshoot, slack)] {
-            let Some(terms) = bound.terms() else { continue };
+            let Some(terms) = bound.bucket_params() else { continue };
             let most = most_in_a_second(&arrivals(terms, &attempts, &faults));
             prop_assert!(most as f64 <= terms.most_in_a_second(), "{most} of {terms:?}");
             prop_assert!(most as f64 <= bound.most_in_a_second, "{most} of {bound:?}");
@@ -141,7 +141,7 @@
         slack in 0.0..50.0_f64,
     ) {
         let bound = RateBound::new(rate, overshoot, slack);
-        match bound.terms() {
+        match bound.bucket_params() {
             None => prop_assert!(bound.most_in_a_second < 1.0),
             Some(terms) => {
                 prop_assert!(terms.most_in_a_second() <= bound.most_in_a_second);
@@ -211,7 +211,7 @@
 
 #[test]
 fn the_usual_terms_use_the_whole_rate_and_stay_below_the_bound() {
-    let terms = usual().terms().expect("terms");
+    let terms = usual().bucket_params().expect("terms");
     assert_eq!((terms.per_s, terms.burst), (15.0, 3.0));
     // 15 × 1.25 + 3, of 27.5 that the target tolerates.
     assert_eq!(terms.most_in_a_second(), 21.0);
@@ -236,7 +236,7 @@
     // A grant that no entry asks for is lost: with as many requests as the rate, and
     // with some more, at least 0.8 of the rate is used.
     for (per_s, least) in [(15.0, 0.8), (22.0, 0.9), (100.0, 0.97)] {
-        let terms = usual().terms().expect("terms");
+        let terms = usual().bucket_params().expect("terms");
         let mut bucket = TokenBucket::new(Millis(0), terms);
         let asked = at_random(per_s, 60_000);
         let given = asked.iter().filter(|at| bucket.take(Millis(**at))).count();
@@ -251,11 +251,11 @@
 
 #[test]
 fn a_bucket_begins_empty_and_is_empty_after_its_owner_stood_still() {
-    let terms = usual().terms().expect("terms");
+    let terms = usual().bucket_params().expect("terms");
     let mut bucket = TokenBucket::new(Millis(5_000), terms);
     assert!(!bucket.take(Millis(5_000)));
-    assert_eq!(bucket.free(Millis(6_000)), 3);
-    bucket.empty(Millis(6_000));
+    assert_eq!(bucket.available(Millis(6_000)), 3);
+    bucket.drain(Millis(6_000));
     assert!(!bucket.take(Millis(6_000)));
     // A clock that goes backwards neither adds nor removes tokens.
     assert!(!bucket.take(Millis(1_000)));
@@ -273,13 +273,15 @@
 
 #[test]
 fn other_terms_take_effect_at_once() {
-    let terms = usual().terms().expect("terms");
+    let terms = usual().bucket_params().expect("terms");
     let mut bucket = TokenBucket::new(Millis(0), terms);
-    assert_eq!(bucket.free(Millis(1_000)), 3);
-    let lower = RateBound::new(2.0, 1.0, 0.0).terms().expect("terms");
+    assert_eq!(bucket.available(Millis(1_000)), 3);
+    let lower = RateBound::new(2.0, 1.0, 0.0)
+        .bucket_params()
+        .expect("terms");
     assert!(bucket.set_params(Millis(1_000), lower));
     assert!(!bucket.set_params(Millis(1_000), lower));
-    assert_eq!(bucket.free(Millis(1_000)), 1);
+    assert_eq!(bucket.available(Millis(1_000)), 1);
 }
 
 #[test]
@@ -305,9 +307,9 @@
 
 fn news(heard: u64, left_ms: u64) -> ColdEvidence {
     ColdEvidence {
-        lasts_ms: 3_000,
+        cold_duration_ms: 3_000,
         first_heard: Millis(1_000),
-        heard: Millis(heard),
+        last_heartbeat: Millis(heard),
         left_ms,
         restored: None,
     }
--- a/crates/moleroad_dispatch/tests/residency.rs
+++ b/crates/moleroad_dispatch/tests/residency.rs
@@ -50,7 +50,7 @@
 fn region_of(choice: Choice) -> Option<String> {
     match choice {
         Choice::Send(candidate) => Some(candidate.region.to_string()),
-        Choice::Full | Choice::Nobody => None,
+        Choice::Full | Choice::NoTarget => None,
     }
 }
 
@@ -79,13 +79,13 @@
     let empty = only(&["r2"]);
     assert_eq!(
         targets.choose(Millis(1), allowed_in(&empty), 7),
-        Choice::Nobody
+        Choice::NoTarget
     );
     assert!(!targets.any_eligible(allowed_in(&empty)));
     let none = only(&[]);
     assert_eq!(
         targets.choose(Millis(1), allowed_in(&none), 7),
-        Choice::Nobody
+        Choice::NoTarget
     );
 }
 
@@ -98,7 +98,7 @@
         .collect();
     // The longer-lasting reason is counted first.
     for resting in [1, 2, 6] {
-        candidates[resting].rests_until = Some(Millis(9));
+        candidates[resting].backoff_until = Some(Millis(9));
     }
     candidates[1].evacuated = true;
     candidates[2].version = Some(1);
@@ -107,7 +107,7 @@
     let needs = Requirements {
         now: Millis(8),
         tried: &tried,
-        least: Some(2),
+        min_version: Some(2),
         regions: Some(&regions),
         ..Requirements::default()
     };
@@ -116,21 +116,21 @@
         evacuated: 1,
         old_weights: 1,
         tried: 1,
-        rests: 1,
-        open: 1,
+        backing_off: 1,
+        eligible: 1,
     };
-    assert_eq!(tally(&candidates, needs), expected);
+    assert_eq!(count_exclusions(&candidates, needs), expected);
 }
 
 #[test]
 fn places_count_in_allowed_regions_alone() {
     let mut targets = targets(&[OWN, "r1", "r1", "r2"]);
     let two = only(&["r1", "r2"]);
-    assert_eq!(targets.places(&AllowedRegions::all()), 8);
-    assert_eq!(targets.places(&two), 6);
+    assert_eq!(targets.total_slots(&AllowedRegions::all()), 8);
+    assert_eq!(targets.total_slots(&two), 6);
     targets.started(Millis(0), &TargetId::new("t1"), 0);
     targets.started(Millis(0), &TargetId::new("t0"), 0);
-    assert_eq!(targets.free_places(Millis(1), &two), 5.0);
+    assert_eq!(targets.free_slots(Millis(1), &two), 5.0);
 }
 
 #[test]
@@ -157,11 +157,11 @@
 fn waiter(id: u64, regions: &AllowedRegions) -> Waiter {
     Waiter {
         id: WaiterId(id),
-        line: WaitClass::InTime,
+        class: WaitClass::InTime,
         priority: 1,
         since: Millis(id),
-        wanted_by: Millis(1_000),
-        until: Millis(1_000),
+        latency_deadline: Millis(1_000),
+        expires_at: Millis(1_000),
         regions: regions.clone(),
     }
 }
@@ -265,7 +265,7 @@
     match how {
         Event::Send { random } => match targets.choose(now, needs, *random) {
             Choice::Send(candidate) => Some(candidate),
-            Choice::Full | Choice::Nobody => None,
+            Choice::Full | Choice::NoTarget => None,
         },
         Event::Ask { random, evacuated } => {
             let mut asked = targets.shortlist(now, needs, SearchScope::OwnRegion, *random);
@@ -311,7 +311,7 @@
                     targets.set(directory_list(regions));
                 }
                 Event::Send { .. } | Event::Ask { .. } => {
-                    let allowed = route.and(&account);
+                    let allowed = route.intersection(&account);
                     let needs = Requirements { tried: &tried, regions: Some(&allowed), ..Requirements::default() };
                     let could = targets.any_eligible(needs);
                     let sent = choose(&mut targets, now, needs, event);
--- a/crates/moleroad_dispatch/tests/rest.rs
+++ b/crates/moleroad_dispatch/tests/rest.rs
@@ -28,7 +28,7 @@
     Candidate {
         address: address(number),
         version: None,
-        rests_until,
+        backoff_until: rests_until,
         ..support::target(&format!("t{number}"), 2)
     }
 }
@@ -91,19 +91,19 @@
 
 #[test]
 fn a_shorter_wish_takes_nothing_from_a_longer_one() {
-    let mut rests = Rests::default();
-    rests.ask(Millis(100), life("t", 7), ANSWERED, 3_000);
-    rests.ask(Millis(200), life("t", 7), ANSWERED, 50);
+    let mut rests = TargetBackoffs::default();
+    rests.record(Millis(100), life("t", 7), ANSWERED, 3_000);
+    rests.record(Millis(200), life("t", 7), ANSWERED, 50);
     assert_eq!(rests.until(Millis(300), &life("t", 7)), Some(Millis(3_100)));
-    rests.ask(Millis(400), life("t", 7), ANSWERED, 5_000);
+    rests.record(Millis(400), life("t", 7), ANSWERED, 5_000);
     assert_eq!(rests.until(Millis(500), &life("t", 7)), Some(Millis(5_400)));
     assert_eq!(rests.until(Millis(5_400), &life("t", 7)), None);
 }
 
 #[test]
 fn a_wish_ends_with_the_life_that_had_it() {
-    let mut rests = Rests::default();
-    rests.ask(Millis(100), life("t", 7), ANSWERED, 3_000);
+    let mut rests = TargetBackoffs::default();
+    rests.record(Millis(100), life("t", 7), ANSWERED, 3_000);
     assert_eq!(rests.until(Millis(200), &life("t", ANSWERED + 1)), None);
     // Another target at the same address, started since.
     assert_eq!(rests.until(Millis(200), &life("u", ANSWERED + 1)), None);
@@ -117,21 +117,21 @@
 
 #[test]
 fn a_life_that_answered_before_its_first_heartbeat_came_keeps_its_wish() {
-    let mut rests = Rests::default();
-    rests.ask(Millis(100), life("t", 7), ANSWERED, 3_000);
+    let mut rests = TargetBackoffs::default();
+    rests.record(Millis(100), life("t", 7), ANSWERED, 3_000);
     let until = Some(Millis(3_100));
     assert_eq!(rests.until(Millis(200), &life("t", ANSWERED - 1)), until);
     assert_eq!(rests.until(Millis(200), &life("u", ANSWERED - 1)), until);
     // A backoff recorded under the previous start time is not shortened by a shorter
     // one.
-    rests.ask(Millis(300), life("t", ANSWERED - 1), ANSWERED + 200, 10);
+    rests.record(Millis(300), life("t", ANSWERED - 1), ANSWERED + 200, 10);
     assert_eq!(rests.until(Millis(400), &life("t", ANSWERED - 1)), until);
 }
 
 #[test]
 fn without_births_a_target_is_known_by_its_identity() {
-    let mut rests = Rests::default();
-    rests.ask(Millis(100), life("t", 0), ANSWERED, 3_000);
+    let mut rests = TargetBackoffs::default();
+    rests.record(Millis(100), life("t", 0), ANSWERED, 3_000);
     let until = Some(Millis(3_100));
     assert_eq!(rests.until(Millis(200), &life("t", 0)), until);
     assert_eq!(rests.until(Millis(200), &life("t", 9)), until);
@@ -153,9 +153,9 @@
         let looked_at = [candidate(1, None)];
         let best = targets.best_of(Millis(now), at(now), &looked_at);
         assert_eq!(best.is_none(), rests, "the current state counts");
-        assert_eq!(targets.is_open(&id, at(now)), !rests);
+        assert_eq!(targets.is_eligible(&id, at(now)), !rests);
         assert_eq!(targets.any_eligible(at(now)), !rests);
-        let free = targets.free_places(Millis(now), &all);
+        let free = targets.free_slots(Millis(now), &all);
         assert_eq!(free, if rests { 0.0 } else { 2.0 });
     }
 }
@@ -169,11 +169,11 @@
         })
     };
     assert_eq!(
-        targets(&[Some(50), Some(40)]).rested_at(at(10)),
+        targets(&[Some(50), Some(40)]).backoff_ends(at(10)),
         rested(40, Some(40))
     );
-    assert_eq!(targets(&[Some(50), None]).rested_at(at(10)), None);
-    assert_eq!(targets(&[Some(50), Some(40)]).rested_at(at(45)), None);
+    assert_eq!(targets(&[Some(50), None]).backoff_ends(at(10)), None);
+    assert_eq!(targets(&[Some(50), Some(40)]).backoff_ends(at(45)), None);
     // A target that got the request before takes it only when the caller retries.
     let tried = [TargetId::new("t2"), TargetId::new("t1")];
     let needs = |count: usize| Requirements {
@@ -181,8 +181,8 @@
         ..at(10)
     };
     let targets = targets(&[Some(50), Some(40)]);
-    assert_eq!(targets.rested_at(needs(1)), rested(40, Some(50)));
-    assert_eq!(targets.rested_at(needs(2)), rested(40, None));
+    assert_eq!(targets.backoff_ends(needs(1)), rested(40, Some(50)));
+    assert_eq!(targets.backoff_ends(needs(2)), rested(40, None));
 }
 
 #[test]
@@ -194,5 +194,5 @@
         assert!(matches!(chosen, Choice::Send(c) if c.id == TargetId::new("t2")));
     }
     targets.set_backoff(&TargetId::new("t1"), None);
-    assert!(targets.is_open(&TargetId::new("t1"), at(10)));
+    assert!(targets.is_eligible(&TargetId::new("t1"), at(10)));
 }
--- a/crates/moleroad_dispatch/tests/support/mod.rs
+++ b/crates/moleroad_dispatch/tests/support/mod.rs
@@ -25,6 +25,6 @@
         cold: None,
         limit: None,
         granted_until: None,
-        rests_until: None,
+        backoff_until: None,
     }
 }
--- a/crates/moleroad_fakes/src/deployment/mod.rs
+++ b/crates/moleroad_fakes/src/deployment/mod.rs
@@ -7,7 +7,7 @@
 use crate::engine::FakeEngine;
 use crate::process::{Process, Signal};
 use crate::shape::DeploymentShape;
-use crate::wait::until;
+use crate::wait::wait_until;
 use moleroad_cli::prelude::OperatorClient;
 use moleroad_settings::prelude::*;
 use moleroad_types::prelude::*;
@@ -64,7 +64,7 @@
     /// Prints the last lines of all processes' logs, for a failed test.
     fn print_logs(&self) {
         for (name, process) in &self.processes {
-            let output = process.printed();
+            let output = process.output();
             let lines: Vec<&str> = output.lines().collect();
             let start = lines.len().saturating_sub(LOG_LINES_ON_FAILURE);
             eprintln!("last log lines of {name}:\n{}", lines[start..].join("\n"));
@@ -160,7 +160,7 @@
             .cloned()
             .collect();
         for name in daemons {
-            until(&format!("{name} to stop"), || {
+            wait_until(&format!("{name} to stop"), || {
                 self.process(&name).exit_status()
             });
         }
@@ -185,7 +185,7 @@
 }
 
 /// Generates pseudorandom weights from `seed`, so that all chunks differ.
-pub fn weights_of(seed: u64, bytes: usize) -> Vec<u8> {
+pub fn generate_weights(seed: u64, bytes: usize) -> Vec<u8> {
     let mut reader = blake3::Hasher::new()
         .update(&seed.to_le_bytes())
         .finalize_xof();
--- a/crates/moleroad_fakes/src/deployment/operate.rs
+++ b/crates/moleroad_fakes/src/deployment/operate.rs
@@ -1,7 +1,7 @@
 //! Operator and platform actions on a deployment, and queries of its state.
 
 use super::{Deployment, account_key};
-use crate::wait::until;
+use crate::wait::wait_until;
 use moleroad_rpc::message::{ReplicaCounts, SystemStatus};
 use moleroad_types::object::*;
 use moleroad_types::prelude::*;
@@ -65,7 +65,7 @@
     ///
     /// # Errors
     /// I/O errors of writing the file.
-    pub fn put_at_origin(&self, path: &str, content: &[u8]) -> io::Result<()> {
+    pub fn store_at_origin(&self, path: &str, content: &[u8]) -> io::Result<()> {
         let file = self.folder.join("origin").join(path);
         if let Some(parent) = file.parent() {
             std::fs::create_dir_all(parent)?;
@@ -91,7 +91,7 @@
         let origin_path = format!("{account}/{model}/{version}");
         let to_error =
             |error: io::Error| MoleroadError::new(ResultCode::ObjectInvalid, error.to_string());
-        self.put_at_origin(&origin_path, content)
+        self.store_at_origin(&origin_path, content)
             .map_err(to_error)?;
         let manifest = Manifest::from_reader(content, chunk_bytes).map_err(to_error)?;
         let root = manifest.root;
@@ -146,7 +146,7 @@
 
     /// Waits until at least `count` replicas of a selector serve `root`.
     pub fn wait_serving(&self, selector: &str, root: RootDigest, count: u32) -> ReplicaCounts {
-        until(&format!("{count} replicas of {selector}"), || {
+        wait_until(&format!("{count} replicas of {selector}"), || {
             let counts = self.replicas(selector)?;
             let serves = counts.weights.as_ref().is_some_and(|id| id.root == root);
             (serves && counts.serving >= count).then_some(counts)
@@ -165,7 +165,7 @@
     ///
     /// # Errors
     /// I/O errors of writing the list.
-    pub fn list_leaving(&self, instances: &[&str]) -> io::Result<()> {
+    pub fn set_leaving(&self, instances: &[&str]) -> io::Result<()> {
         std::fs::write(
             self.folder.join("leaving.json"),
             serde_json::to_vec(instances)?,
--- a/crates/moleroad_fakes/src/deployment/start.rs
+++ b/crates/moleroad_fakes/src/deployment/start.rs
@@ -5,7 +5,7 @@
 use crate::engine::FakeEngine;
 use crate::process::{Process, program_folder};
 use crate::shape::{DeploymentShape, HallShape};
-use crate::wait::until;
+use crate::wait::wait_until;
 use moleroad_settings::prelude::*;
 use moleroad_types::prelude::*;
 use std::collections::BTreeMap;
@@ -163,8 +163,8 @@
 
     pub(super) fn found_control_group(&self) {
         let client = self.client();
-        until("the control group", || client.found().ok());
-        until("a leader", || client.status().ok());
+        wait_until("the control group", || client.found().ok());
+        wait_until("a leader", || client.status().ok());
     }
 
     pub(super) fn start_targets(&mut self) -> io::Result<()> {
@@ -264,13 +264,13 @@
     /// If a process ends, with its output in the message, or on timeout.
     pub(super) fn wait_ready(&mut self) {
         for (instance, address) in self.entries.clone() {
-            until(&format!("{instance} to be ready"), || {
+            wait_until(&format!("{instance} to be ready"), || {
                 self.assert_all_running();
                 (crate::caller::caller_get(address, "/readyz", "").status == 200).then_some(())
             });
         }
         let daemons = self.entries.len() + self.agents.len();
-        until("all daemons to report", || {
+        wait_until("all daemons to report", || {
             self.assert_all_running();
             let status = self.client().status().ok()?;
             (status.daemons.len() >= daemons).then_some(())
@@ -280,7 +280,7 @@
     fn assert_all_running(&mut self) {
         for (name, process) in &mut self.processes {
             if let Some(status) = process.exit_status() {
-                panic!("{name} exited with {status}: {}", process.printed());
+                panic!("{name} exited with {status}: {}", process.output());
             }
         }
     }
--- a/crates/moleroad_gateway/src/acquire.rs
+++ b/crates/moleroad_gateway/src/acquire.rs
@@ -3,7 +3,7 @@
 
 use crate::no_place::{NoPlace, no_place, no_place_for};
 use crate::node::Node;
-use crate::places::Ask;
+use crate::places::PlaceRequest;
 use crate::probe;
 use crate::refusal::immediate_refusal;
 use moleroad_dispatch::prelude::*;
@@ -43,9 +43,9 @@
 }
 
 /// A reserved slot at a target; released when dropped.
-pub struct Place {
+pub struct ReservedSlot {
     /// Load of the target when the slot was reserved.
-    pub belief: LoadEstimate,
+    pub load_estimate: LoadEstimate,
     node: Arc<Node>,
     service: String,
     /// The target.
@@ -59,8 +59,8 @@
     outcome: Outcome,
 }
 
-impl Place {
-    fn new(node: &Arc<Node>, request: &Ask, candidate: Candidate) -> Self {
+impl ReservedSlot {
+    fn new(node: &Arc<Node>, request: &PlaceRequest, candidate: Candidate) -> Self {
         let belief = estimate_load(node, request, &candidate);
         if request.line == WaitClass::Overdue
             && let Some(places) = node.view().services.get_mut(&request.service)
@@ -68,10 +68,10 @@
             places.overdue_share.started(&candidate.region);
         }
         Self {
-            belief,
+            load_estimate: belief,
             node: node.clone(),
             service: request.service.clone(),
-            life: node.view().life_of(&candidate.id),
+            life: node.view().incarnation_of(&candidate.id),
             sent: None,
             candidate,
             line: request.line,
@@ -81,7 +81,7 @@
     }
 
     /// Returns the target whose answers arrive through this slot.
-    pub fn answerer(&self) -> Responder {
+    pub fn responder(&self) -> Responder {
         Responder {
             address: self.candidate.address,
             target: self.life.target.clone(),
@@ -90,7 +90,7 @@
     }
 
     /// Records that a request with this deadline is being sent to the target.
-    pub fn sends(&mut self, request: RequestFingerprint, until: Millis) {
+    pub fn record_send(&mut self, request: RequestFingerprint, until: Millis) {
         self.sent = Some((request, until));
     }
 
@@ -110,29 +110,29 @@
     }
 
     /// Records that the target has read the prompt.
-    pub fn was_read(&mut self) {
+    pub fn mark_prompt_read(&mut self) {
         let Some(tokens) = self.unread_tokens.take() else {
             return;
         };
         let mut view = self.node.view();
         if let Some(places) = view.services.get_mut(&self.service) {
-            places.targets.was_read(&self.candidate.id, tokens);
+            places.targets.prompt_read(&self.candidate.id, tokens);
         }
     }
 
     /// Sets the outcome of the send; without one the request counts as abandoned.
-    pub fn ended(&mut self, outcome: Outcome) {
+    pub fn set_outcome(&mut self, outcome: Outcome) {
         self.outcome = outcome;
     }
 }
 
-impl Drop for Place {
+impl Drop for ReservedSlot {
     fn drop(&mut self) {
         self.record_abandoned();
-        self.was_read();
+        self.mark_prompt_read();
         let now = self.node.clock.now();
         let mut view = self.node.view();
-        let least = self.node.least_version(&view, &self.service);
+        let least = self.node.min_version(&view, &self.service);
         if let Some(places) = view.services.get_mut(&self.service) {
             places
                 .targets
@@ -149,7 +149,7 @@
 /// granted but not taken.
 struct QueuedRequest {
     node: Arc<Node>,
-    request: Ask,
+    request: PlaceRequest,
     id: WaiterId,
     grant: oneshot::Receiver<Candidate>,
 }
@@ -164,7 +164,7 @@
         places.cancel(self.id);
         if let Ok(candidate) = self.grant.try_recv() {
             let (targets, tokens) = (&mut places.targets, self.request.prompt_tokens);
-            targets.was_read(&candidate.id, tokens);
+            targets.prompt_read(&candidate.id, tokens);
             targets.finished(now, &candidate.id, Outcome::Abandoned);
         }
     }
@@ -173,11 +173,11 @@
 /// Reserves a slot, waiting for one if necessary.
 ///
 /// # Errors
-/// Returns [`NoPlace`] when no slot becomes free until [`Ask::until`], when too many
+/// Returns [`NoPlace`] when no slot becomes free until [`PlaceRequest::until`], when too many
 /// requests wait, or when no target is eligible for the request.
-pub async fn acquire(node: &Arc<Node>, request: &Ask) -> Result<Place, NoPlace> {
+pub async fn acquire(node: &Arc<Node>, request: &PlaceRequest) -> Result<ReservedSlot, NoPlace> {
     let now = node.clock.now();
-    let place = |candidate| Place::new(node, request, candidate);
+    let place = |candidate| ReservedSlot::new(node, request, candidate);
     let may_probe_now = {
         let view = node.view();
         let Some(places) = view.services.get(&request.service) else {
@@ -251,19 +251,16 @@
 }
 
 /// Returns whether the target is still eligible for the request.
-fn is_open(node: &Node, request: &Ask, candidate: &Candidate) -> bool {
+fn is_open(node: &Node, request: &PlaceRequest, candidate: &Candidate) -> bool {
     let view = node.view();
-    let needs = request.needs(
-        node.clock.now(),
-        node.least_version(&view, &request.service),
-    );
+    let needs = request.needs(node.clock.now(), node.min_version(&view, &request.service));
     let places = view.services.get(&request.service);
-    places.is_some_and(|places| places.targets.is_open(&candidate.id, needs))
+    places.is_some_and(|places| places.targets.is_eligible(&candidate.id, needs))
 }
 
 /// Returns whether the queued request is among the next to be sent and has to probe
 /// agents itself.
-fn is_next_in_queue(node: &Node, request: &Ask, id: WaiterId) -> bool {
+fn is_next_in_queue(node: &Node, request: &PlaceRequest, id: WaiterId) -> bool {
     let view = node.view();
     let places = view.services.get(&request.service);
     places.is_some_and(|places| {
@@ -278,7 +275,7 @@
     })
 }
 
-fn estimate_load(node: &Node, request: &Ask, candidate: &Candidate) -> LoadEstimate {
+fn estimate_load(node: &Node, request: &PlaceRequest, candidate: &Candidate) -> LoadEstimate {
     let now = node.clock.now();
     let view = node.view();
     let Some(places) = view.services.get(&request.service) else {
@@ -287,8 +284,8 @@
     let load = places.targets.load(&candidate.id);
     let usual = places
         .targets
-        .reading
-        .map_or(0.0, |reading| reading.usual_prompt);
+        .prefill
+        .map_or(0.0, |reading| reading.typical_prompt_tokens);
     LoadEstimate {
         requests: load.requests(now),
         unread_tokens: load.unread_tokens(now, usual),
--- a/crates/moleroad_gateway/src/agent/choice.rs
+++ b/crates/moleroad_gateway/src/agent/choice.rs
@@ -46,7 +46,7 @@
 }
 
 impl Fetch {
-    /// Returns the next piece to fetch and its source. At most `at_once` pieces
+    /// Returns the next piece to fetch and its source. At most `wave_size` pieces
     /// are fetched from other agents at the same time.
     pub(super) fn next_piece(&mut self, at_once: usize) -> Option<(u32, PieceSource)> {
         let in_flight = self.in_flight.values();
@@ -76,9 +76,9 @@
                 piece,
                 offered: !holders.offers.is_empty(),
                 announced_ms: self.announced_ms(now, piece),
-                near: holders.near.len(),
-                far: holders.far.len(),
-                far_known_ms: now.since(known_at.unwrap_or(now)),
+                near_holders: holders.near.len(),
+                far_holders: holders.far.len(),
+                far_holders_known_ms: now.since(known_at.unwrap_or(now)),
             };
             let Some((kind, order)) = choose_source(known, &self.membership.trees, &conditions)
             else {
@@ -112,15 +112,15 @@
         let others = live_agents(&view, now);
         let origins = self.free_origins(now, &view.catalog.origins);
         let conditions = FetchConditions {
-            patience: self.timeouts,
+            timeouts: self.timeouts,
             elapsed_ms: now.since(self.schedule_started_at),
-            turns: self.schedule.clone(),
+            schedule: self.schedule.clone(),
             origin_piece_ms: self.origin_piece_ms(&view),
             link_piece_ms: self.piece_ms(own_link_kbps),
             can_ask_origin: !origins.is_empty(),
             origin_failed_ms: self.origin_failed_at.map(|failed| now.since(failed)),
             may_cross_regions: !self.crosses_regions(&others),
-            newest_seen: self.highest_seen(missing),
+            highest_seen: self.highest_seen(missing),
         };
         (conditions, origins)
     }
--- a/crates/moleroad_gateway/src/agent/cold.rs
+++ b/crates/moleroad_gateway/src/agent/cold.rs
@@ -73,7 +73,7 @@
 
     /// Records that this process is running. After a suspension, grants
     /// accumulate from zero again.
-    pub fn note_alive(&self, now: Millis) {
+    pub fn record_alive(&self, now: Millis) {
         let mut state = self.lock();
         let before = state.last_alive_at.replace(now);
         let was_running = before.is_some_and(|before| now.since(before) <= SUSPENSION_THRESHOLD_MS);
@@ -82,13 +82,13 @@
         }
         state.refill_from = now;
         if let Some(grants) = &mut state.grants {
-            grants.empty(now);
+            grants.drain(now);
         }
     }
 
     /// Answers a grant request of an entry.
     pub fn grant(&self, now: Millis, request: GrantRequest) -> GrantAnswer {
-        self.note_alive(now);
+        self.record_alive(now);
         let mut state = self.lock();
         let reported_until = now + request.left_ms.min(MAX_COLD_MS);
         if request.left_ms > 0 {
@@ -98,7 +98,7 @@
             requests_per_s: request.requests_per_s,
             most_in_a_second: request.most_in_a_second,
         };
-        let Some(terms) = bound.terms() else {
+        let Some(terms) = bound.bucket_params() else {
             return GrantAnswer { is_given: false };
         };
         let empty = TokenBucket::new(state.refill_from, terms);
@@ -116,7 +116,7 @@
         ColdState {
             age_ms: state.started_at.map(|started_at| now.since(started_at)),
             left_ms: state.reported_until.since(now),
-            grants: state.grants.as_mut().map(|grants| grants.free(now)),
+            grants: state.grants.as_mut().map(|grants| grants.available(now)),
         }
     }
 
--- a/crates/moleroad_gateway/src/agent/digests.rs
+++ b/crates/moleroad_gateway/src/agent/digests.rs
@@ -58,12 +58,12 @@
             && status.is_success()
             && let Some(digests) = node.interface.read_digests(&body)
         {
-            origin_backoff.note(node.clock.now(), true, 0);
+            origin_backoff.record_result(node.clock.now(), true, 0);
             if digests.version == wanted.version {
                 return store_and_forward(node, wanted, SharedDigests(digests.digests));
             }
         }
-        origin_backoff.note(node.clock.now(), false, rand::random());
+        origin_backoff.record_result(node.clock.now(), false, rand::random());
     }
     None
 }
@@ -123,7 +123,7 @@
 ) -> (Vec<SocketAddr>, bool, Vec<CatalogOrigin>) {
     let trees = trees_of(node, wanted);
     let patience = TakeoverTimeouts::for_pieces(wanted.model.piece_bytes, node.settings.link_mbps);
-    let allowed = trees.permission(wanted.model.digests_part(), patience, idle_ms);
+    let allowed = trees.allowed_sources(wanted.model.digests_part(), patience, idle_ms);
     let view = node.view();
     let own = &view.own;
     let others = live_agents(&view, node.clock.now());
@@ -159,7 +159,7 @@
         other.role == DaemonRole::Agent
             && other.service == own.service
             && other.instance != own.instance
-            && now.since(observed.at) < AGENT_TIMEOUT_MS
+            && now.since(observed.last_seen) < AGENT_TIMEOUT_MS
     };
     let live_agents = view.directory.daemons().filter(is_live_agent);
     live_agents.map(|observed| &observed.record).collect()
--- a/crates/moleroad_gateway/src/agent/fetch.rs
+++ b/crates/moleroad_gateway/src/agent/fetch.rs
@@ -188,7 +188,7 @@
                     self.in_flight.remove(&piece);
                     self.record_result(piece, source, result);
                 }
-                () = self.node.offered.notified() => {}
+                () = self.node.offer_received.notified() => {}
                 () = tokio::time::sleep(CHECK_INTERVAL) => {}
             }
         }
@@ -215,7 +215,8 @@
         match source {
             PieceSource::Origin(_) => {
                 self.from_origin += 1;
-                self.origin_backoff.note(now, is_here, rand::random());
+                self.origin_backoff
+                    .record_result(now, is_here, rand::random());
                 self.origin_failed_at = Some(now).filter(|_| !is_here);
             }
             PieceSource::Agent(address) if result == TransferResult::Unreachable => {
@@ -243,7 +244,7 @@
                 offers::announce_origin_fetch(&self.node, trees, &self.wanted, piece, offer);
             }
         }
-        self.node.news.notify_waiters();
+        self.node.state_changed.notify_waiters();
     }
 
     /// Restarts the schedule with the missing pieces when pieces arrive again
@@ -251,7 +252,7 @@
     fn restart_schedule(&mut self, now: Millis, source: PieceSource) {
         self.schedule_started_at = now;
         self.schedule = OriginSchedule::of_missing(&self.missing());
-        self.origin_backoff.end();
+        self.origin_backoff.reset();
         // A piece from another agent does not show that the origin serves all
         // agents again, so they still return to it in the order of their ranks.
         if let PieceSource::Origin(_) = source {
--- a/crates/moleroad_gateway/src/agent/offers.rs
+++ b/crates/moleroad_gateway/src/agent/offers.rs
@@ -114,7 +114,7 @@
         Offer::Piece(_) | Offer::Coming(_) => return,
         Offer::Digests(shared) => receive_digests(node, model, version, shared),
     }
-    node.offered.notify_waiters();
+    node.offer_received.notify_waiters();
 }
 
 /// Stores digests and forwards them, unless they are known already.
@@ -157,7 +157,11 @@
     piece: u32,
     offer: Offer,
 ) {
-    let recipients = trees.told_of_draw(piece).into_iter().cloned().collect();
+    let recipients = trees
+        .announcement_recipients(piece)
+        .into_iter()
+        .cloned()
+        .collect();
     let announcement = Announcement::new(node, trees, wanted, offer);
     tokio::spawn(announcement.send(recipients));
 }
--- a/crates/moleroad_gateway/src/agent/superseded.rs
+++ b/crates/moleroad_gateway/src/agent/superseded.rs
@@ -60,7 +60,7 @@
             unreleased,
             is_fallback: self.is_fallback,
             idle_ms: self.idle_ms(),
-            patience: self.timeouts,
+            timeouts: self.timeouts,
             newer,
             newer_released: others.iter().any(has_newer),
             usable_ms: newest_named_at.map_or(0, |at| (at + usable_for_ms).since(now)),
--- a/crates/moleroad_gateway/src/agent/switch.rs
+++ b/crates/moleroad_gateway/src/agent/switch.rs
@@ -157,7 +157,7 @@
 /// Returns whether the engine may switch now: its wave has started, or the
 /// switch takes no capacity from callers.
 fn may_switch(node: &Node, wanted: &WantedVersion, staged_at: Millis) -> bool {
-    if !node.settings.experiments.has(Mechanism::Waves) {
+    if !node.settings.experiments.is_enabled(Mechanism::Waves) {
         return true;
     }
     let now = node.clock.now();
@@ -218,7 +218,7 @@
     let last_ms = node.settings.bounds.version_ms;
     WavePlan {
         engines,
-        turn_ms,
+        outage_ms: turn_ms,
         earliest_start_ms: (copy_ms * COPY_TIME_RATIO) as u64,
         latest_start_ms: last_ms.saturating_sub(turn_ms + SAFETY_MARGIN_MS),
     }
--- a/crates/moleroad_gateway/src/agent/update_loop.rs
+++ b/crates/moleroad_gateway/src/agent/update_loop.rs
@@ -74,7 +74,7 @@
         };
         without_digests = None;
         let has_lost_all = matches!(held, HeldVersion::Nothing);
-        if has_lost_all || (node.is_young(now) && !matches!(held, HeldVersion::Unknown)) {
+        if has_lost_all || (node.recently_started(now) && !matches!(held, HeldVersion::Unknown)) {
             store::find_staged(&node, &wanted, &digests).await;
         }
         match Fetch::new(&node, &wanted, is_fallback, digests).run().await {
@@ -102,7 +102,7 @@
     if node.view().engine_was_polled {
         return true;
     }
-    let is_silent = node.clock.now().since(node.began_at) >= ENGINE_START_SILENCE_MS;
+    let is_silent = node.clock.now().since(node.started_at) >= ENGINE_START_SILENCE_MS;
     is_silent && !node.settings.found_group
 }
 
@@ -114,7 +114,7 @@
 /// between them, if it is newer than the version that the engine holds or is
 /// about to load.
 pub fn fallback_of(node: &Node, newest: &WantedVersion) -> Option<WantedVersion> {
-    if !node.settings.experiments.has(Mechanism::Fallback) {
+    if !node.settings.experiments.is_enabled(Mechanism::Fallback) {
         return None;
     }
     let held = match held_version(node, &newest.model) {
--- a/crates/moleroad_gateway/src/agent/watch.rs
+++ b/crates/moleroad_gateway/src/agent/watch.rs
@@ -37,7 +37,7 @@
             .engine
             .is_some_and(|engine| node.backoff_left_ms(engine) > 0);
         let read = read_with_timeout(&node, timeout).await;
-        node.cold_engine.note_alive(node.clock.now());
+        node.cold_engine.record_alive(node.clock.now());
         match read {
             // The engine requested a backoff and is not polled; its last report
             // remains valid.
@@ -78,7 +78,11 @@
 /// not switching versions. Always false if [`Mechanism::YieldingPieces`] is
 /// disabled.
 pub fn serves(node: &Node) -> bool {
-    if !node.settings.experiments.has(Mechanism::YieldingPieces) {
+    if !node
+        .settings
+        .experiments
+        .is_enabled(Mechanism::YieldingPieces)
+    {
         return false;
     }
     let view = node.view();
@@ -165,5 +169,5 @@
         view.own.sequence += 1;
     }
     drop(view);
-    node.news.notify_waiters();
+    node.state_changed.notify_waiters();
 }
--- a/crates/moleroad_gateway/src/candidates.rs
+++ b/crates/moleroad_gateway/src/candidates.rs
@@ -2,7 +2,7 @@
 //! agents and entries.
 
 use crate::experiments::Mechanism;
-use crate::places::ServicePlaces;
+use crate::places::ServiceSlots;
 use crate::settings::{RoleSetting, Settings};
 use crate::view::View;
 use moleroad_config::prelude::{RouteTable, Service};
@@ -41,7 +41,7 @@
         });
         let shares = SlotShares::new(&settings.instance, demands);
         let entries = entries().count();
-        let agents = self.directory.agents();
+        let agents = self.directory.agents_by_engine();
         let mut lists: HashMap<&str, Vec<Candidate>> = HashMap::new();
         for service in table.services() {
             lists.entry(&service.name).or_default();
@@ -65,7 +65,7 @@
                 candidate.cold = cold_targets.get(&record.id).cloned();
                 let limit = self.limited_target(now, settings, service, record, candidate.agent);
                 candidate.limit = limit.map(Arc::new);
-                candidate.rests_until = self.backoffs.until(now, &Responder::of(record));
+                candidate.backoff_until = self.backoffs.until(now, &Responder::of(record));
                 if self.needs_cold_grant(now, &service.name, &candidate) {
                     // Other entries may already know its agent.
                     let agent = settings.peer_address_at(record.address.ip());
@@ -84,11 +84,12 @@
             let places = self
                 .services
                 .entry(name.to_string())
-                .or_insert_with(|| ServicePlaces::new(bounds));
-            places.targets.reading = table
+                .or_insert_with(|| ServiceSlots::new(bounds));
+            places.targets.prefill = table
                 .service(name)
                 .and_then(|service| reading_speed(service));
-            places.targets.ignores_failures = !settings.experiments.has(Mechanism::Avoidance);
+            places.targets.ignores_failures =
+                !settings.experiments.is_enabled(Mechanism::Avoidance);
             places.targets.set(candidates);
         }
         self.update_arrivals(now, &table);
@@ -144,7 +145,7 @@
     let steps = service.steps?;
     (steps.prompt_tokens_per_s > 0.0).then(|| PrefillSpeed {
         tokens_per_ms: steps.prompt_tokens_per_s / 1_000.0,
-        usual_prompt: steps.usual_prompt,
+        typical_prompt_tokens: steps.typical_prompt_tokens,
         steps_ms: steps.step_ms * steps.steps_per_pass.max(1) as f64 * STEP_OVERHEAD,
         tokens_per_pass: steps.tokens_per_pass as f64,
     })
@@ -184,14 +185,14 @@
     } else {
         Distance::OtherRegion
     };
-    let pace_report = report.filter(|_| settings.experiments.has(Mechanism::Slowness));
+    let pace_report = report.filter(|_| settings.experiments.is_enabled(Mechanism::Slowness));
     let pace = pace_report.map_or(1.0, |report| f64::from(report.pace));
     Some(Candidate {
         id: record.id.clone(),
         address: record.address,
         slots,
         max_own,
-        share: if settings.experiments.has(Mechanism::SharedPlaces) {
+        share: if settings.experiments.is_enabled(Mechanism::SharedPlaces) {
             shares.of(record.id.as_str(), slots)
         } else {
             slots
@@ -206,11 +207,11 @@
         cold: None,
         limit: None,
         granted_until: None,
-        rests_until: None,
+        backoff_until: None,
     })
 }
 
 fn current_report(now: Millis, agent: &Observed<DaemonRecord>) -> Option<&EngineReport> {
-    let is_current = now.since(agent.at) < REPORT_MAX_AGE_MS;
+    let is_current = now.since(agent.last_seen) < REPORT_MAX_AGE_MS;
     agent.record.report.as_ref().filter(|_| is_current)
 }
--- a/crates/moleroad_gateway/src/clock.rs
+++ b/crates/moleroad_gateway/src/clock.rs
@@ -36,7 +36,7 @@
     }
 
     /// Returns the time since the clock was started, in milliseconds.
-    pub fn up_ms(&self) -> u64 {
+    pub fn uptime_ms(&self) -> u64 {
         self.now().0 - START_OFFSET_MS
     }
 
--- a/crates/moleroad_gateway/src/cold_targets.rs
+++ b/crates/moleroad_gateway/src/cold_targets.rs
@@ -62,7 +62,7 @@
             event = if is_cold { "target_cold" } else { "target_not_cold" },
             target:% = id,
             source = known.unwrap_or(cold.source).name(),
-            age_ms = now.since(observed.at),
+            age_ms = now.since(observed.last_seen),
             left_ms = cold.until.since(now);
             ""
         );
@@ -72,7 +72,7 @@
 /// Returns whether the targets of the service have agents that are queried. Engines do,
 /// provided that their reading speed is known.
 pub(crate) fn queries_agents(settings: &Settings, service: &Service) -> bool {
-    let require_queries = settings.experiments.has(Mechanism::AskedAgents);
+    let require_queries = settings.experiments.is_enabled(Mechanism::AskedAgents);
     !service.models.is_empty() && reading_speed(service).is_some() && require_queries
 }
 
@@ -80,7 +80,7 @@
 /// grants; `None` when it is not enforced.
 fn cold_limit(settings: &Settings, service: &Service) -> Option<(ColdStart, bool)> {
     let start = service.cold_start?;
-    let has = |mechanism| settings.experiments.has(mechanism);
+    let has = |mechanism| settings.experiments.is_enabled(mechanism);
     let requires_grant = queries_agents(settings, service) && has(Mechanism::ColdGrants);
     let is_enforced = requires_grant || has(Mechanism::ColdDivision);
     is_enforced.then_some((start, requires_grant))
@@ -134,9 +134,9 @@
         let id = &observed.record.id;
         let first_heard = self.cold.first_heard(id);
         let evidence = ColdEvidence {
-            lasts_ms: start.lasts_ms,
+            cold_duration_ms: start.cold_duration_ms,
             first_heard,
-            heard: observed.at,
+            last_heartbeat: observed.last_seen,
             left_ms: observed.record.cold_left_ms,
             restored: self.restored_at(&observed.record.hall),
         };
@@ -147,10 +147,10 @@
             bound: RateBound::new(start.requests_per_s, overshoot, slack),
             until,
             source,
-            said_until: evidence.said_until(),
-            lasts_ms: start.lasts_ms,
+            reported_until: evidence.reported_until(),
+            cold_duration_ms: start.cold_duration_ms,
             requires_grant: false,
-            part: 0,
+            quota: 0,
             quota_from: quota_usable_from(self.cold.started_at.unwrap_or_default(), first_heard),
         }
     }
--- a/crates/moleroad_gateway/src/control_member/member.rs
+++ b/crates/moleroad_gateway/src/control_member/member.rs
@@ -1,7 +1,7 @@
 //! The member's thread: passes events to the consensus replica and executes its
 //! actions.
 
-use super::{Committed, MemberInput, MemberOutput, MemberSettings, TIMING};
+use super::{MemberInput, MemberOutput, MemberSettings, ProposalOutcome, TIMING};
 use crate::clock::Clock;
 use crate::control_state::{ControlCommand, ControlState};
 use crate::evacuations::HallOrderOutcome;
@@ -23,7 +23,7 @@
 /// Opens the storage and reads the state that it holds.
 pub fn open(settings: &MemberSettings) -> Result<(Storage<FolderDisk>, Restored), StorageError> {
     let disk = FolderDisk::open(&settings.folder)?;
-    Storage::open(disk, settings.fresh, &settings.instance)
+    Storage::open(disk, settings.initial_id, &settings.instance)
 }
 
 /// State of the member's thread.
@@ -36,7 +36,7 @@
     replica: Replica,
     state: Arc<ControlState>,
     next_ticket: u64,
-    replies: BTreeMap<ProposalTicket, oneshot::Sender<Committed>>,
+    replies: BTreeMap<ProposalTicket, oneshot::Sender<ProposalOutcome>>,
     proposals_by_index: BTreeMap<LogIndex, (Term, ProposalTicket)>,
     published_leader: Option<(Term, Option<MemberId>)>,
     logged_members: Option<Configuration>,
@@ -60,7 +60,7 @@
         let tentative = tentative_state(&state, &restored);
         let _ = output.send(MemberOutput::Tentative(Arc::new(tentative)));
         let replica = Replica::new(own.id, TIMING, rand::random(), restored, clock.now());
-        let replica = replica.with_wanted_voters(settings.tolerated_losses * 2 + 1);
+        let replica = replica.with_desired_voters(settings.tolerated_losses * 2 + 1);
         Self {
             settings,
             own,
@@ -85,7 +85,7 @@
     pub fn begin(&mut self, founding: Option<Configuration>) {
         self.publish_state();
         if let Some(configuration) = founding {
-            self.handle_event(Event::Found(configuration));
+            self.handle_event(Event::Bootstrap(configuration));
         }
     }
 
@@ -139,18 +139,18 @@
     fn prepare_proposal(
         &mut self,
         command: &ControlCommand,
-        reply: oneshot::Sender<Committed>,
+        reply: oneshot::Sender<ProposalOutcome>,
     ) -> Option<Proposal> {
         if self.storage.is_none() || self.retired {
-            let _ = reply.send(Committed::NotLeader(None));
+            let _ = reply.send(ProposalOutcome::NotLeader(None));
             return None;
         }
         if self.state.includes(command) {
-            let _ = reply.send(Committed::Yes(self.state.document_id()));
+            let _ = reply.send(ProposalOutcome::Applied(self.state.document_id()));
             return None;
         }
         let Ok(data) = rmp_serde::to_vec(command) else {
-            let _ = reply.send(Committed::Unknown);
+            let _ = reply.send(ProposalOutcome::Unknown);
             return None;
         };
         let ticket = ProposalTicket(self.next_ticket);
@@ -209,7 +209,7 @@
                 self.proposals_by_index.insert(index, (term, ticket));
             }
             Action::Refused { ticket, leader } => {
-                self.reply(ticket, Committed::NotLeader(leader));
+                self.reply(ticket, ProposalOutcome::NotLeader(leader));
             }
             Action::BecameLeader(term) => log::info!(event = "control_leads", term = term.0; ""),
             Action::LostLeadership => {
@@ -224,7 +224,7 @@
         let mut changed = false;
         let mut done = Vec::new();
         for entry in entries {
-            let mut outcome = Committed::Unknown;
+            let mut outcome = ProposalOutcome::Unknown;
             if let Payload::Command(data) = &entry.payload {
                 match rmp_serde::from_slice::<ControlCommand>(data) {
                     Ok(command) => {
@@ -237,7 +237,7 @@
             }
             if let Some((term, ticket)) = self.proposals_by_index.remove(&entry.index) {
                 if term != entry.term {
-                    outcome = Committed::Unknown;
+                    outcome = ProposalOutcome::Unknown;
                 }
                 done.push((ticket, outcome));
             }
@@ -252,18 +252,18 @@
 
     /// Applies a committed command. Returns whether the state changed, and the
     /// outcome for the proposer.
-    fn apply_command(&mut self, command: &ControlCommand) -> (bool, Committed) {
+    fn apply_command(&mut self, command: &ControlCommand) -> (bool, ProposalOutcome) {
         let state = Arc::make_mut(&mut self.state);
         let ControlCommand::OrderHall(order) = command else {
             let is_change = state.apply(command);
-            return (is_change, Committed::Yes(state.document_id()));
+            return (is_change, ProposalOutcome::Applied(state.document_id()));
         };
-        let result = state.evacuations.carry_out(order);
+        let result = state.evacuations.apply(order);
         let is_change = result.outcome == HallOrderOutcome::Changed;
-        (is_change, Committed::Hall(result))
+        (is_change, ProposalOutcome::Hall(result))
     }
 
-    fn reply(&mut self, ticket: ProposalTicket, outcome: Committed) {
+    fn reply(&mut self, ticket: ProposalTicket, outcome: ProposalOutcome) {
         if let Some(reply) = self.replies.remove(&ticket) {
             let _ = reply.send(outcome);
         }
@@ -273,7 +273,7 @@
     fn abandon_proposals(&mut self) {
         self.proposals_by_index.clear();
         for (_, reply) in std::mem::take(&mut self.replies) {
-            let _ = reply.send(Committed::Unknown);
+            let _ = reply.send(ProposalOutcome::Unknown);
         }
     }
 
@@ -310,7 +310,7 @@
                 let now = self.clock.now();
                 let replica = Replica::new(self.own.id, TIMING, rand::random(), restored, now);
                 let wanted = self.settings.tolerated_losses * 2 + 1;
-                self.replica = replica.with_wanted_voters(wanted);
+                self.replica = replica.with_desired_voters(wanted);
                 self.state = Arc::new(restored_state);
                 self.storage = Some(storage);
                 log::info!(event = "disk_works_again"; "");
--- a/crates/moleroad_gateway/src/control_member/mod.rs
+++ b/crates/moleroad_gateway/src/control_member/mod.rs
@@ -27,10 +27,10 @@
 
 /// Outcome of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Committed {
+pub enum ProposalOutcome {
     /// The change, or a later one that supersedes it, is durable on a majority
     /// and applied. Carries the ID of the configuration in force afterwards.
-    Yes(Option<DocumentId>),
+    Applied(Option<DocumentId>),
     /// An order for a data hall is durable on a majority and applied, with this
     /// result.
     Hall(HallOrderResult),
@@ -45,7 +45,7 @@
     /// A consensus message from another member.
     Receive(MemberInfo, Message),
     /// Proposes a change and reports its outcome.
-    Propose(ControlCommand, oneshot::Sender<Committed>),
+    Propose(ControlCommand, oneshot::Sender<ProposalOutcome>),
     /// Reads the current state, if this member is the leader and holds its
     /// lease. Otherwise replies with the leader, if known.
     Read(oneshot::Sender<Result<Arc<ControlState>, Option<MemberInfo>>>),
@@ -77,7 +77,7 @@
     /// Folder that holds the member's durable state.
     pub folder: PathBuf,
     /// Member ID to use if the folder is empty.
-    pub fresh: MemberId,
+    pub initial_id: MemberId,
     /// Name of the instance.
     pub instance: String,
     /// Address that receives consensus messages.
@@ -95,7 +95,7 @@
     /// This member, with the ID stored on its disk.
     pub own: MemberInfo,
     /// Whether the disk held state from an earlier run.
-    pub has_old_state: bool,
+    pub has_stored_state: bool,
 }
 
 impl ControlMember {
@@ -129,20 +129,20 @@
         Ok(Self {
             input,
             own,
-            has_old_state,
+            has_stored_state: has_old_state,
         })
     }
 
     /// Sends a message to the thread. Has no effect if the thread has ended.
-    pub fn tell(&self, input: MemberInput) {
+    pub fn send(&self, input: MemberInput) {
         let _ = self.input.send(input);
     }
 
     /// Proposes a change and waits for its outcome.
-    pub async fn propose(&self, command: ControlCommand) -> Committed {
+    pub async fn propose(&self, command: ControlCommand) -> ProposalOutcome {
         let (reply, answer) = oneshot::channel();
-        self.tell(MemberInput::Propose(command, reply));
-        answer.await.unwrap_or(Committed::Unknown)
+        self.send(MemberInput::Propose(command, reply));
+        answer.await.unwrap_or(ProposalOutcome::Unknown)
     }
 
     /// Returns the current committed state.
@@ -152,7 +152,7 @@
     /// as far as it is known.
     pub async fn read(&self) -> Result<Arc<ControlState>, Option<MemberInfo>> {
         let (reply, answer) = oneshot::channel();
-        self.tell(MemberInput::Read(reply));
+        self.send(MemberInput::Read(reply));
         answer.await.unwrap_or(Err(None))
     }
 }
--- a/crates/moleroad_gateway/src/control_state.rs
+++ b/crates/moleroad_gateway/src/control_state.rs
@@ -146,8 +146,8 @@
                 self.versions.insert(model.clone(), *version);
             }
             ControlCommand::OrderHall(order) => {
-                let before = self.evacuations.of(&order.hall);
-                return self.evacuations.carry_out(order).state != before;
+                let before = self.evacuations.state_of(&order.hall);
+                return self.evacuations.apply(order).state != before;
             }
             ControlCommand::HoldRequest(order) => return self.holds.apply(order),
             ControlCommand::TryRequest(order) => return self.reviews.grant(order),
--- a/crates/moleroad_gateway/src/evacuations.rs
+++ b/crates/moleroad_gateway/src/evacuations.rs
@@ -68,7 +68,7 @@
 
 impl Evacuations {
     /// Returns the state of a hall.
-    pub fn of(&self, hall: &str) -> HallState {
+    pub fn state_of(&self, hall: &str) -> HallState {
         self.0.get(hall).copied().unwrap_or_default()
     }
 
@@ -78,8 +78,8 @@
     }
 
     /// Applies an order.
-    pub fn carry_out(&mut self, order: &HallOrder) -> HallOrderResult {
-        let held = self.of(&order.hall);
+    pub fn apply(&mut self, order: &HallOrder) -> HallOrderResult {
+        let held = self.state_of(&order.hall);
         // Daemons may know newer state than a group that lost more disks than it
         // tolerates.
         let group_lost_state = order.based_on > held.revision;
@@ -97,13 +97,13 @@
         };
         HallOrderResult {
             outcome,
-            state: self.of(&order.hall),
+            state: self.state_of(&order.hall),
         }
     }
 
     /// Merges the state of a hall; returns true if it was newer.
     pub fn merge_hall(&mut self, hall: &str, state: HallState) -> bool {
-        let is_newer = state.revision > self.of(hall).revision;
+        let is_newer = state.revision > self.state_of(hall).revision;
         if is_newer {
             self.0.insert(hall.to_string(), state);
         }
--- a/crates/moleroad_gateway/src/experiments.rs
+++ b/crates/moleroad_gateway/src/experiments.rs
@@ -44,7 +44,7 @@
 
 impl Experiments {
     /// Returns whether the mechanism is enabled.
-    pub fn has(&self, mechanism: Mechanism) -> bool {
+    pub fn is_enabled(&self, mechanism: Mechanism) -> bool {
         !self.off.contains(&mechanism)
     }
 }
--- a/crates/moleroad_gateway/src/front/answer.rs
+++ b/crates/moleroad_gateway/src/front/answer.rs
@@ -71,9 +71,9 @@
     /// All targets are in evacuated data halls; the request did not run.
     AllEvacuated,
     /// The process is shutting down; the request did not run.
-    Leaving,
+    Stopping,
     /// The targets rejected the request; it did not run.
-    TurnedAway,
+    RejectedByTargets,
     /// The deadline passed before the request was sent; it did not run.
     DeadlinePassedNotRun,
     /// No allowed region has an eligible and reachable target; the request did not
@@ -144,12 +144,12 @@
                 "MR-6215",
                 "all its targets stand in evacuated data halls; not run",
             ),
-            Leaving => (
+            Stopping => (
                 StatusCode::SERVICE_UNAVAILABLE,
                 "MR-6208",
                 "this entry stops; not run",
             ),
-            TurnedAway => (
+            RejectedByTargets => (
                 StatusCode::SERVICE_UNAVAILABLE,
                 "MR-6209",
                 "targets turned it away; not run",
--- a/crates/moleroad_gateway/src/front/attempt.rs
+++ b/crates/moleroad_gateway/src/front/attempt.rs
@@ -1,11 +1,11 @@
 //! Sends a request until it has an answer, within its deadline, its maximum
 //! number of attempts and the retry budget.
 
-use crate::acquire::{LoadEstimate, Place};
+use crate::acquire::{LoadEstimate, ReservedSlot};
 use crate::front::broken_sends::Progress;
 use crate::front::exchange::{self, Reply, ReplyClass, SendError};
 use crate::front::give_up::GiveUp;
-use crate::front::request::Accepted;
+use crate::front::request::AcceptedRequest;
 use crate::front::sends::Sends;
 use crate::front::silence_timeouts;
 use crate::node::Node;
@@ -28,7 +28,7 @@
 pub struct Attempts {
     pub(super) node: Arc<Node>,
     /// The request being answered.
-    pub request: Arc<Accepted>,
+    pub request: Arc<AcceptedRequest>,
     pub(super) tried: Vec<TargetId>,
     pub(super) sends: Sends,
     /// Number of places given back because no connection could be opened or a
@@ -57,14 +57,14 @@
 /// A send whose target has begun to answer.
 pub struct RunningSend {
     /// The place at the target, which records the outcome of the send.
-    pub place: Place,
+    pub place: ReservedSlot,
     /// The head of the answer.
     pub reply: Reply,
 }
 
 impl Attempts {
     /// Creates the state of a request that was not sent yet.
-    pub fn new(node: Arc<Node>, request: Accepted) -> Self {
+    pub fn new(node: Arc<Node>, request: AcceptedRequest) -> Self {
         Self {
             node,
             request: Arc::new(request),
@@ -110,17 +110,17 @@
             let mut place = next?;
             let least = {
                 let view = self.node.view();
-                self.node.least_version(&view, &self.request.service)
+                self.node.min_version(&view, &self.request.service)
             };
             self.last = Some(LastSend {
                 target: place.candidate.id.clone(),
                 send: self.sends() + 1,
                 waited_ms: self.node.clock.now().since(self.request.arrived),
-                load_estimate: place.belief,
+                load_estimate: place.load_estimate,
                 weights: place.candidate.version.unwrap_or(0),
             });
             self.tried.push(place.candidate.id.clone());
-            place.sends(self.request.fingerprint, self.request.until);
+            place.record_send(self.request.fingerprint, self.request.until);
             let sent = self.send(&place, least, last_event).await;
             self.log_send(&place, &sent);
             if sent.as_ref().is_err_and(|error| error.is_not_sent()) {
@@ -128,7 +128,7 @@
             }
             match sent {
                 Err(SendError::Unreachable) => {
-                    place.ended(Outcome::Unreachable);
+                    place.set_outcome(Outcome::Unreachable);
                     self.node.pool.forget(place.candidate.address);
                     self.unreachable += 1;
                     if self.unreachable >= MAX_UNREACHABLE {
@@ -136,7 +136,7 @@
                     }
                 }
                 Err(SendError::Expired) => {
-                    place.ended(Outcome::Abandoned);
+                    place.set_outcome(Outcome::Abandoned);
                     self.tried.pop();
                     self.unreachable += 1;
                     if self.unreachable >= MAX_UNREACHABLE {
@@ -155,7 +155,7 @@
                     if error == SendError::Broken {
                         self.record_break(&place, Progress::NoHead);
                     }
-                    place.ended(Outcome::Broken);
+                    place.set_outcome(Outcome::Broken);
                     if !self.is_idempotent() {
                         return Err(GiveUp::NoRetry);
                     }
@@ -176,11 +176,15 @@
 
     /// Handles the head of an answer; returns `None` if another target may be
     /// tried.
-    async fn take_head(&mut self, mut place: Place, mut reply: Reply) -> Option<RunningSend> {
+    async fn take_head(
+        &mut self,
+        mut place: ReservedSlot,
+        mut reply: Reply,
+    ) -> Option<RunningSend> {
         match reply.class {
             ReplyClass::Succeeded | ReplyClass::Final => Some(RunningSend { place, reply }),
             ReplyClass::Rejected => {
-                place.ended(Outcome::TurnedAway);
+                place.set_outcome(Outcome::Rejected);
                 let whole = reply.read_whole_body(&self.node, self.request.until).await;
                 if whole.is_ok() {
                     reply.keep_connection(&self.node);
@@ -189,14 +193,14 @@
             }
             ReplyClass::Failed => {
                 self.may_have_run = true;
-                place.ended(Outcome::Failed);
+                place.set_outcome(Outcome::Failed);
                 match reply.read_whole_body(&self.node, self.request.until).await {
                     Ok(body) => self.failed_reply = Some((reply, body)),
                     Err(error) => {
                         if error == SendError::Broken {
                             self.record_break(&place, Progress::PartOfBody);
                         }
-                        place.ended(Outcome::Broken);
+                        place.set_outcome(Outcome::Broken);
                     }
                 }
                 None
@@ -212,16 +216,16 @@
         }
         let now = self.node.clock.now();
         let mut view = self.node.view();
-        let least = self.node.least_version(&view, &self.request.service);
+        let least = self.node.min_version(&view, &self.request.service);
         let entries = view.entry_count(now);
         let residency = view.residency(&self.request.residency);
         let needs = Requirements {
             now,
             tried: &self.tried,
-            least,
+            min_version: least,
             prompt_tokens: self.request.prompt_tokens,
             first_event_within_ms: None,
-            spare: 0,
+            reserved_slots: 0,
             regions: Some(residency.allowed()),
         };
         view.services
@@ -238,7 +242,7 @@
     /// another target could take the request.
     async fn send(
         &self,
-        place: &Place,
+        place: &ReservedSlot,
         least: Option<u64>,
         last_event: Option<&Bytes>,
     ) -> Result<Reply, SendError> {
@@ -271,9 +275,9 @@
     /// there any more, because the target's weights are too old by now or the
     /// request was quarantined after other targets ended while running it. Most
     /// targets drop a queued request when its connection closes.
-    pub fn is_start_forbidden(&self, place: &Place) -> bool {
+    pub fn is_start_forbidden(&self, place: &ReservedSlot) -> bool {
         let view = self.node.view();
-        let least = self.node.least_version(&view, &self.request.service);
+        let least = self.node.min_version(&view, &self.request.service);
         let version = place.candidate.version;
         let is_outdated = least.is_some_and(|least| version.is_some_and(|version| version < least));
         let left_ms = self.node.hold_left_ms(&view, &self.request.fingerprint);
--- a/crates/moleroad_gateway/src/front/attempt_log.rs
+++ b/crates/moleroad_gateway/src/front/attempt_log.rs
@@ -1,6 +1,6 @@
 //! Log lines about the sends of a request.
 
-use crate::acquire::Place;
+use crate::acquire::ReservedSlot;
 use crate::front::attempt::Attempts;
 use crate::front::exchange::{Reply, ReplyClass, SendError};
 use crate::no_place::{NoPlace, NoPlaceCause};
@@ -39,7 +39,7 @@
             in_other_regions = exclusions.region as u64,
             evacuated = exclusions.evacuated as u64,
             tried = exclusions.tried as u64,
-            unreachable = exclusions.open as u64,
+            unreachable = exclusions.eligible as u64,
             sends = self.sends(),
             retry_after_ms = no_place.retry_after_ms;
             ""
@@ -87,7 +87,7 @@
     }
 
     /// Counts a send by outcome, and logs it unless it was answered.
-    pub(super) fn log_send(&self, place: &Place, sent: &Result<Reply, SendError>) {
+    pub(super) fn log_send(&self, place: &ReservedSlot, sent: &Result<Reply, SendError>) {
         let candidate = &place.candidate;
         let outcome = match sent {
             Ok(reply) => match reply.class {
@@ -108,7 +108,7 @@
             return;
         }
         let now = self.node.clock.now();
-        let estimate = place.belief;
+        let estimate = place.load_estimate;
         log::info!(
             event = "send",
             request = self.request.id.to_str().unwrap_or("-"),
--- a/crates/moleroad_gateway/src/front/broken_sends.rs
+++ b/crates/moleroad_gateway/src/front/broken_sends.rs
@@ -1,6 +1,6 @@
 //! Records sends whose connection broke while the target had the request.
 
-use crate::acquire::Place;
+use crate::acquire::ReservedSlot;
 use crate::front::attempt::Attempts;
 
 /// How much of the answer had arrived when the connection broke.
@@ -18,7 +18,7 @@
 
 impl Attempts {
     /// Records that the target or the link broke the connection of a send.
-    pub(super) fn record_break(&self, place: &Place, progress: Progress) {
+    pub(super) fn record_break(&self, place: &ReservedSlot, progress: Progress) {
         self.node.metrics.count("request_broke");
         log::info!(
             event = "request_broke",
@@ -32,6 +32,6 @@
         );
         let address = place.candidate.address;
         self.node
-            .request_broke(place.life.clone(), address, self.request.fingerprint);
+            .handle_request_break(place.life.clone(), address, self.request.fingerprint);
     }
 }
--- a/crates/moleroad_gateway/src/front/buffered.rs
+++ b/crates/moleroad_gateway/src/front/buffered.rs
@@ -6,13 +6,13 @@
 use crate::front::broken_sends::Progress;
 use crate::front::exchange::{ReplyClass, SendError};
 use crate::front::give_up::{GiveUp, attach_last_send, forwarded_answer};
-use crate::front::request::Accepted;
+use crate::front::request::AcceptedRequest;
 use crate::node::Node;
 use moleroad_dispatch::prelude::Outcome;
 use std::sync::Arc;
 
 /// Sends a request whose answer is no stream, and returns the complete answer.
-pub async fn answer_buffered(node: &Arc<Node>, request: Accepted) -> Answer {
+pub async fn answer_buffered(node: &Arc<Node>, request: AcceptedRequest) -> Answer {
     let mut attempts = Attempts::new(node.clone(), request);
     let mut answer = try_buffered(node, &mut attempts).await;
     attach_last_send(&attempts, &mut answer);
@@ -31,7 +31,7 @@
                 if running.reply.class == ReplyClass::Succeeded {
                     node.note_success(attempts.request.fingerprint);
                 }
-                running.place.ended(Outcome::Answered);
+                running.place.set_outcome(Outcome::Answered);
                 let answer = forwarded_answer(&running.reply, AnswerBody::Whole(Some(body)));
                 running.reply.keep_connection(node);
                 return answer;
@@ -40,7 +40,7 @@
                 if error == SendError::Broken {
                     attempts.record_break(&running.place, Progress::PartOfBody);
                 }
-                running.place.ended(Outcome::Broken);
+                running.place.set_outcome(Outcome::Broken);
                 attempts.record_broken_answer();
                 if !attempts.is_idempotent() {
                     return attempts.give_up(GiveUp::NoRetry);
--- a/crates/moleroad_gateway/src/front/exchange.rs
+++ b/crates/moleroad_gateway/src/front/exchange.rs
@@ -1,8 +1,8 @@
 //! Performs one send of a request to a target.
 
-use crate::acquire::Place;
+use crate::acquire::ReservedSlot;
 use crate::front::pool::Connection;
-use crate::front::request::Accepted;
+use crate::front::request::AcceptedRequest;
 use crate::grants;
 use crate::node::Node;
 use crate::target_notice::AnswerHead;
@@ -11,7 +11,7 @@
 use hyper::body::Incoming;
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::{Request, StatusCode, http};
-use moleroad_dispatch::prelude::{Candidate, Requirements, barrier};
+use moleroad_dispatch::prelude::{Candidate, Requirements, exclusion};
 use moleroad_types::prelude::Millis;
 use std::time::Duration;
 
@@ -84,8 +84,8 @@
 /// the others the request may have run.
 pub async fn send(
     node: &Node,
-    request: &Accepted,
-    place: &Place,
+    request: &AcceptedRequest,
+    place: &ReservedSlot,
     min_version: Option<u64>,
     last_event: Option<&Bytes>,
     until: Millis,
@@ -119,7 +119,7 @@
             node.pool.give_back_unused(connection);
             return Err(SendError::Ineligible);
         }
-        if !grants::holds(node, &request.service, candidate) {
+        if !grants::may_send(node, &request.service, candidate) {
             node.pool.give_back_unused(connection);
             return Err(SendError::Expired);
         }
@@ -131,7 +131,7 @@
             Ok(Ok(response)) => {
                 // An answer to another request also counts: the target sent it.
                 node.apply_notice(AnswerHead {
-                    from: place.answerer(),
+                    from: place.responder(),
                     request: request.id.to_str().unwrap_or("-"),
                     sent_at: is_answer_to(node, request, response.headers()).then_some(sent_at),
                     status: response.status(),
@@ -156,7 +156,7 @@
 /// region, the target may have left or asked for backoff, its weights may have
 /// become too old, or the request may have been quarantined because other targets
 /// ended while running it.
-fn is_ineligible(node: &Node, request: &Accepted, chosen: &Candidate) -> bool {
+fn is_ineligible(node: &Node, request: &AcceptedRequest, chosen: &Candidate) -> bool {
     let view = node.view();
     if !request.is_trial && node.hold_left_ms(&view, &request.fingerprint).is_some() {
         return true;
@@ -165,18 +165,18 @@
     // `tried` stays empty: the chosen target was already added to it.
     let needs = Requirements {
         now: node.clock.now(),
-        least: node.least_version(&view, &request.service),
+        min_version: node.min_version(&view, &request.service),
         regions: Some(residency.allowed()),
         ..Requirements::default()
     };
     let places = view.services.get(&request.service);
     let known = places.and_then(|places| places.targets.candidate(&chosen.id));
-    known.is_none_or(|known| barrier(known, needs).is_some())
+    known.is_none_or(|known| exclusion(known, needs).is_some())
 }
 
 fn build(
     node: &Node,
-    request: &Accepted,
+    request: &AcceptedRequest,
     candidate: &Candidate,
     min_version: Option<u64>,
     last_event: Option<&Bytes>,
@@ -208,7 +208,12 @@
 /// connection was closed, but drops it at the deadline. The deadline is
 /// therefore no later than the last time at which a request may begin on the
 /// target's weights.
-fn set_deadline(node: &Node, request: &Accepted, candidate: &Candidate, headers: &mut HeaderMap) {
+fn set_deadline(
+    node: &Node,
+    request: &AcceptedRequest,
+    candidate: &Candidate,
+    headers: &mut HeaderMap,
+) {
     let names = node.interface.headers();
     let old = node.old_weights(&request.service, candidate.version);
     let until = old.map_or(request.until, |old| old.last_start.min(request.until));
@@ -217,14 +222,14 @@
 }
 
 /// Returns whether the answer carries the request's id.
-fn is_answer_to(node: &Node, request: &Accepted, headers: &HeaderMap) -> bool {
+fn is_answer_to(node: &Node, request: &AcceptedRequest, headers: &HeaderMap) -> bool {
     let names = node.interface.headers();
     headers.get(&names.request_id) == Some(&request.id)
 }
 
 fn classify_reply(
     node: &Node,
-    request: &Accepted,
+    request: &AcceptedRequest,
     response: http::Response<Incoming>,
     connection: Connection,
 ) -> Result<Reply, SendError> {
--- a/crates/moleroad_gateway/src/front/give_up.rs
+++ b/crates/moleroad_gateway/src/front/give_up.rs
@@ -6,7 +6,7 @@
 use crate::front::exchange::{Reply, implies_not_run};
 use crate::front::request::forwarded_headers;
 use crate::front::waiting::MIN_SEND_BUDGET_MS;
-use crate::no_place::{NoPlace, NoPlaceCause, turned_away_retry_ms};
+use crate::no_place::{NoPlace, NoPlaceCause, rejected_retry_ms};
 use bytes::Bytes;
 use hyper::Response;
 use hyper::header::HeaderMap;
@@ -43,7 +43,7 @@
                     NoPlaceCause::Busy => EntryError::NoPlace,
                     NoPlaceCause::Evacuated => EntryError::AllEvacuated,
                     NoPlaceCause::Quarantined => EntryError::Quarantined,
-                    NoPlaceCause::TurnedAway => EntryError::TurnedAway,
+                    NoPlaceCause::TurnedAway => EntryError::RejectedByTargets,
                     NoPlaceCause::Resting => EntryError::AllBackingOff,
                     NoPlaceCause::DisjointRegions => EntryError::NoCommonRegion,
                     NoPlaceCause::EmptyRegions(_) => EntryError::NoAllowedTarget,
@@ -53,8 +53,8 @@
             GiveUp::DeadlinePassed => EntryError::DeadlinePassedNotRun.response(Some(0)),
             GiveUp::NoRetry => {
                 let ask = self.ask();
-                let back_in_ms = turned_away_retry_ms(&self.node, &self.node.view(), &ask);
-                EntryError::TurnedAway.response(Some(back_in_ms))
+                let back_in_ms = rejected_retry_ms(&self.node, &self.node.view(), &ask);
+                EntryError::RejectedByTargets.response(Some(back_in_ms))
             }
         }
     }
--- a/crates/moleroad_gateway/src/front/pool.rs
+++ b/crates/moleroad_gateway/src/front/pool.rs
@@ -79,7 +79,7 @@
     pub async fn connect(&self, address: SocketAddr) -> std::io::Result<Connection> {
         let connecting = first_connected(|| TcpStream::connect(address));
         let stream = tokio::time::timeout(CONNECT_TIMEOUT, connecting).await??;
-        crate::peers::prepare(&stream);
+        crate::peers::configure_socket(&stream);
         let builder = hyper::client::conn::http1::Builder::new();
         let (sender, connection) = builder
             .handshake(TokioIo::new(stream))
--- a/crates/moleroad_gateway/src/front/request.rs
+++ b/crates/moleroad_gateway/src/front/request.rs
@@ -20,7 +20,7 @@
 const MAX_HOLD_MS: u64 = 600_000;
 
 /// A validated request that may be sent to a target.
-pub struct Accepted {
+pub struct AcceptedRequest {
     /// HTTP method.
     pub method: Method,
     /// Path and query, as sent by the caller.
@@ -66,7 +66,7 @@
     node: &Node,
     request: Request<Incoming>,
     arrived: Millis,
-) -> Result<Accepted, EntryError> {
+) -> Result<AcceptedRequest, EntryError> {
     let Some(table) = node.view().table.clone() else {
         return Err(EntryError::NoConfiguration);
     };
@@ -79,7 +79,7 @@
     let account = account_of(&table, &route, key)?;
     let id = head.headers.get(&names.request_id).cloned();
     let id = id.unwrap_or_else(|| HeaderValue::from_static("-"));
-    let weighted = RouteTable::service_of(&route, rand::random()).ok_or(EntryError::NoRoute)?;
+    let weighted = RouteTable::select_service(&route, rand::random()).ok_or(EntryError::NoRoute)?;
     let service = weighted.service.clone();
     let deadline_ms = number(head.headers.get(&names.deadline_ms));
     let hold_ms = route.timeout_ms.min(MAX_HOLD_MS);
@@ -112,7 +112,7 @@
         target: &path_and_query,
         body: &body,
     };
-    Ok(Accepted {
+    Ok(AcceptedRequest {
         fingerprint: content.fingerprint(),
         is_trial: false,
         method: head.method.clone(),
@@ -144,7 +144,7 @@
     key: Option<&HeaderValue>,
 ) -> Result<Option<Arc<ClientAccount>>, EntryError> {
     let key = key.and_then(|key| key.to_str().ok());
-    let account = key.and_then(|key| table.account_of(key)).cloned();
+    let account = key.and_then(|key| table.account_by_key(key)).cloned();
     if table.needs_key() && !route.public && account.is_none() {
         return Err(EntryError::UnknownKey);
     }
--- a/crates/moleroad_gateway/src/front/serve.rs
+++ b/crates/moleroad_gateway/src/front/serve.rs
@@ -2,7 +2,7 @@
 
 use crate::front::answer::{Answer, EntryError, close_after};
 use crate::front::attempt::LastSend;
-use crate::front::request::Accepted;
+use crate::front::request::AcceptedRequest;
 use crate::front::{buffered, request, stream};
 use crate::listening::accept_connections;
 use crate::node::Node;
@@ -72,9 +72,9 @@
     let mut summary = None;
     let mut answer = match result {
         Err(error) => error.response(retry_after_ms(error)),
-        Ok(_) if node.requests_stopped() => EntryError::Leaving.response(Some(0)),
+        Ok(_) if node.requests_stopped() => EntryError::Stopping.response(Some(0)),
         Ok(mut accepted) => {
-            accepted.is_trial = trial::is_granted(&node, &accepted).await;
+            accepted.is_trial = trial::obtain(&node, &accepted).await;
             summary = Some(RequestSummary::of(&accepted));
             if accepted.route.streaming {
                 stream::answer_stream(&node, accepted).await
@@ -116,11 +116,11 @@
 }
 
 impl RequestSummary {
-    fn of(accepted: &Accepted) -> Self {
+    fn of(accepted: &AcceptedRequest) -> Self {
         Self {
             route: accepted.route.name.clone(),
             config_version: accepted.config_version,
-            is_restricted: !accepted.residency.allowed().is_all(),
+            is_restricted: !accepted.residency.allowed().is_unrestricted(),
         }
     }
 }
--- a/crates/moleroad_gateway/src/front/stream.rs
+++ b/crates/moleroad_gateway/src/front/stream.rs
@@ -10,7 +10,7 @@
 use crate::front::events::EventSplitter;
 use crate::front::exchange::{ReplyClass, SendError};
 use crate::front::give_up::{GiveUp, attach_last_send, forwarded_answer};
-use crate::front::request::Accepted;
+use crate::front::request::AcceptedRequest;
 use crate::front::silence_timeouts;
 use crate::node::Node;
 use bytes::Bytes;
@@ -44,7 +44,7 @@
 }
 
 /// Sends a request whose answer is a stream, and starts forwarding the events.
-pub async fn answer_stream(node: &Arc<Node>, request: Accepted) -> Answer {
+pub async fn answer_stream(node: &Arc<Node>, request: AcceptedRequest) -> Answer {
     let mut splitter = EventSplitter::after(request.last_event.clone());
     let mut attempts = Attempts::new(node.clone(), request);
     loop {
@@ -61,12 +61,12 @@
         }
         match first_events(node, &attempts, &mut running, &mut splitter).await {
             FirstEvents::Events(events) => {
-                running.place.was_read();
+                running.place.mark_prompt_read();
                 return start_relay(node, attempts, running, splitter, events);
             }
             FirstEvents::Complete => {
                 node.note_success(attempts.request.fingerprint);
-                running.place.ended(Outcome::Answered);
+                running.place.set_outcome(Outcome::Answered);
                 let answer = forwarded_answer(&running.reply, AnswerBody::Whole(None));
                 running.reply.keep_connection(node);
                 return answer;
@@ -75,7 +75,7 @@
                 if by == BrokenBy::Target {
                     attempts.record_break(&running.place, Progress::NoEvent);
                 }
-                running.place.ended(Outcome::Broken);
+                running.place.set_outcome(Outcome::Broken);
                 attempts.record_broken_answer();
                 splitter.discard_partial_event();
                 if !attempts.is_idempotent() {
@@ -93,7 +93,7 @@
         .await
     {
         Ok(body) => {
-            running.place.ended(Outcome::Answered);
+            running.place.set_outcome(Outcome::Answered);
             let answer = forwarded_answer(&running.reply, AnswerBody::Whole(Some(body)));
             running.reply.keep_connection(node);
             answer
@@ -102,7 +102,7 @@
             if error == SendError::Broken {
                 attempts.record_break(&running.place, Progress::PartOfBody);
             }
-            running.place.ended(Outcome::Broken);
+            running.place.set_outcome(Outcome::Broken);
             EntryError::Broken.response(None)
         }
     }
@@ -212,7 +212,7 @@
             match end {
                 StreamEnd::Complete => {
                     self.node.note_success(self.attempts.request.fingerprint);
-                    running.place.ended(Outcome::Answered);
+                    running.place.set_outcome(Outcome::Answered);
                     running.reply.keep_connection(&self.node);
                     return self.log_end("complete");
                 }
@@ -223,7 +223,9 @@
                         self.attempts
                             .record_break(&running.place, Progress::SomeEvents);
                     }
-                    running.place.ended(broken_outcome(&self.node, &running));
+                    running
+                        .place
+                        .set_outcome(broken_outcome(&self.node, &running));
                     drop(running);
                     self.attempts.record_broken_answer();
                     self.splitter.discard_partial_event();
--- a/crates/moleroad_gateway/src/front/waiting.rs
+++ b/crates/moleroad_gateway/src/front/waiting.rs
@@ -1,13 +1,13 @@
 //! Acquires a place for each send: first within the time in which the target
 //! latency can still be met, then, if worthwhile, to be served late (overdue).
 
-use crate::acquire::{Place, acquire};
+use crate::acquire::{ReservedSlot, acquire};
 use crate::experiments::Mechanism;
 use crate::front::attempt::Attempts;
 use crate::front::give_up::GiveUp;
 use crate::front::silence_timeouts;
 use crate::no_place::{NoPlace, NoPlaceCause};
-use crate::places::Ask;
+use crate::places::PlaceRequest;
 use moleroad_dispatch::prelude::WaitClass;
 use moleroad_types::prelude::Millis;
 
@@ -28,7 +28,7 @@
     ///
     /// # Errors
     /// Returns the reason why no further send is made.
-    pub(super) async fn next_place(&mut self) -> Result<Place, GiveUp> {
+    pub(super) async fn next_place(&mut self) -> Result<ReservedSlot, GiveUp> {
         self.node.catch_up_after_suspension().await;
         let now = self.node.clock.now();
         if now + MIN_SEND_BUDGET_MS > self.request.until {
@@ -72,7 +72,7 @@
 
     /// Acquires a place; tries once more if the request was quarantined while it
     /// waited and the quarantine was lifted.
-    async fn acquire_past_quarantine(&self, ask: &Ask) -> Result<Place, NoPlace> {
+    async fn acquire_past_quarantine(&self, ask: &PlaceRequest) -> Result<ReservedSlot, NoPlace> {
         let first = acquire(&self.node, ask).await;
         if !matches!(&first, Err(no_place) if no_place.cause == NoPlaceCause::Quarantined) {
             return first;
@@ -90,7 +90,7 @@
     /// Returns the requirements for a place that meets the target latency. A
     /// request that was sent before has already used a target's capacity: it gets
     /// the highest priority and may wait until its deadline.
-    pub(super) fn ask(&self) -> Ask {
+    pub(super) fn ask(&self) -> PlaceRequest {
         let request = &self.request;
         let is_first = self.sends.is_first();
         let latency_ms = request.route.target_latency_ms;
@@ -99,7 +99,7 @@
         } else {
             request.until
         };
-        Ask {
+        PlaceRequest {
             service: request.service.clone(),
             tried: self.tried.clone(),
             was_sent: !is_first,
@@ -122,7 +122,11 @@
     /// Returns how long a request waits for a place that meets the target latency,
     /// in milliseconds.
     fn in_time_wait_ms(&self) -> u64 {
-        let waits = self.node.settings.experiments.has(Mechanism::Waiting);
+        let waits = self
+            .node
+            .settings
+            .experiments
+            .is_enabled(Mechanism::Waiting);
         let share = if waits { WAIT_SHARE } else { 0.0 };
         (self.request.route.target_latency_ms as f64 * share) as u64
     }
@@ -130,8 +134,16 @@
     /// Waits for a place to be served late, if one is expected before the caller
     /// disconnects. A late answer is better for the caller than a refusal, since
     /// its time already runs when it retries.
-    async fn overdue_place(&self, in_time: Ask, no_place: NoPlace) -> Result<Place, GiveUp> {
-        let held = self.node.settings.experiments.has(Mechanism::HeldOverdue);
+    async fn overdue_place(
+        &self,
+        in_time: PlaceRequest,
+        no_place: NoPlace,
+    ) -> Result<ReservedSlot, GiveUp> {
+        let held = self
+            .node
+            .settings
+            .experiments
+            .is_enabled(Mechanism::HeldOverdue);
         let leaves_at =
             self.request.arrived + silence_timeouts::caller_timeout_ms(&self.request.route);
         let until = leaves_at.min(self.request.until);
@@ -142,7 +154,7 @@
         if !held || !comes {
             return Err(GiveUp::NoPlace(no_place));
         }
-        let ask = Ask {
+        let ask = PlaceRequest {
             wanted_by: None,
             until: last_send,
             line: WaitClass::Overdue,
@@ -156,7 +168,7 @@
     fn note_in_time(&self, is_placed: bool) {
         let mut view = self.node.view();
         if let Some(places) = view.services.get_mut(&self.request.service) {
-            places.note_in_time(is_placed);
+            places.record_in_time_outcome(is_placed);
         }
     }
 
@@ -172,6 +184,6 @@
         let mut view = self.node.view();
         let entries = view.entry_count(now);
         let places = view.services.get_mut(&self.request.service);
-        places.is_some_and(|places| places.budget.take(now, entries))
+        places.is_some_and(|places| places.budget.try_take(now, entries))
     }
 }
--- a/crates/moleroad_gateway/src/gossip/answer.rs
+++ b/crates/moleroad_gateway/src/gossip/answer.rs
@@ -2,7 +2,7 @@
 
 use crate::control_member::MemberInput;
 use crate::gossip::apply;
-use crate::halls::{HallUpdates, Source};
+use crate::halls::{HallUpdates, UpdateSource};
 use crate::node::Node;
 use crate::peer::{Hello, HelloAnswer};
 use moleroad_directory::prelude::*;
@@ -11,14 +11,14 @@
 /// Merges the caller's updates and returns the delta that it requested.
 pub fn answer(node: &Arc<Node>, hello: Hello) -> HelloAnswer {
     let now = node.clock.now();
-    node.take_halls(&hello.halls, Source::Greeting);
+    node.apply_hall_updates(&hello.halls, UpdateSource::Greeting);
     node.receive_target_ends(hello.ends);
-    if let (Some(core), Some(member)) = (&node.core, hello.member) {
-        core.tell(MemberInput::Spare(member));
+    if let (Some(core), Some(member)) = (&node.control_member, hello.member) {
+        core.send(MemberInput::Spare(member));
     }
     let mut view = node.view();
     let own = view.own.clone();
-    let caller = hello.from.take(&mut view.directory, now, &own);
+    let caller = hello.from.apply(&mut view.directory, now, &own);
     if caller.load_changed {
         apply::record_load(&mut view, now, &caller.instance);
     }
@@ -37,7 +37,7 @@
     let peer = record.map(|observed| observed.record.peer);
     let is_agent = record.is_some_and(|observed| observed.record.role == DaemonRole::Agent);
     view.directory.merge_daemon(now, own, 0);
-    let news = view.directory.news(
+    let news = view.directory.delta(
         now,
         view.own.incarnation,
         &view.own.hall,
@@ -47,7 +47,7 @@
     node.metrics.count_exchanged_records("sent", &news);
     let has_new_catalog = view.catalog.digest() != hello.catalog_digest;
     let sends_catalog = is_agent && has_new_catalog && !view.catalog.models.is_empty();
-    let (ends, ends_cursor) = view.ends_after(now, hello.ends_after);
+    let (ends, ends_cursor) = view.target_ends_after(now, hello.ends_after);
     let answer = HelloAnswer {
         ends,
         ends_cursor,
--- a/crates/moleroad_gateway/src/gossip/apply.rs
+++ b/crates/moleroad_gateway/src/gossip/apply.rs
@@ -20,7 +20,7 @@
     };
     let (id, service) = (target.record.id.clone(), target.record.service.clone());
     if let Some(places) = view.services.get_mut(&service) {
-        places.targets.reported(now, &id, running, queued);
+        places.targets.record_report(now, &id, running, queued);
     }
 }
 
@@ -28,7 +28,7 @@
 /// of eligible targets may have changed.
 pub fn apply_changes(node: &Node, changed: bool) {
     if changed {
-        target_updates::applied(node);
+        target_updates::refresh_targets(node);
     } else {
         node.serve_waiting();
     }
--- a/crates/moleroad_gateway/src/gossip/hello.rs
+++ b/crates/moleroad_gateway/src/gossip/hello.rs
@@ -17,17 +17,17 @@
     let own = view.own.clone();
     view.directory.merge_daemon(now, own, 0);
     let was_announced = |observed: &&Observed<TargetRecord>| {
-        let call = view.to_tell.get(&observed.record.id);
-        call.is_some_and(|call| *call > peer_state.calls)
+        let call = view.pending_announcements.get(&observed.record.id);
+        call.is_some_and(|call| *call > peer_state.target_call_seq)
     };
     let targets = view.directory.targets().filter(was_announced);
     let targets = targets.map(|observed| observed.aged(now)).collect();
     let (ends, ends_position) = view.target_ends_since(now, peer_state.ends_position);
     let mut next = peer_state;
-    let question = next.question(now, contact);
+    let question = next.delta_request(now, contact);
     let hello = Hello {
         from: CallerUpdate::since(&view.directory, &view.own, peer_state.position),
-        member: node.core.as_ref().map(|core| core.own.clone()),
+        member: node.control_member.as_ref().map(|core| core.own.clone()),
         config_version: view.state.config_version(),
         config_digest: view.config_digest,
         versions: view.state.versions.clone(),
@@ -45,9 +45,9 @@
     };
     let next = PeerState {
         ends_position,
-        at: now.0,
+        last_sent_ms: now.0,
         position: view.directory.position(),
-        calls: view.calls,
+        target_call_seq: view.announcement_count,
         ..next
     };
     (hello, next)
--- a/crates/moleroad_gateway/src/gossip/mod.rs
+++ b/crates/moleroad_gateway/src/gossip/mod.rs
@@ -11,7 +11,7 @@
 pub mod apply;
 mod hello;
 
-use crate::halls::Source;
+use crate::halls::UpdateSource;
 use crate::node::Node;
 use crate::operator;
 use crate::peer::HelloAnswer;
@@ -33,16 +33,16 @@
 const PULL_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 /// Exchanges hellos with due contacts until the process ends.
-pub async fn greet(node: Arc<Node>) {
+pub async fn run_gossip(node: Arc<Node>) {
     let gossip_state: Arc<Mutex<GossipState>> = Arc::default();
     loop {
-        drop(node.standstill());
+        drop(node.suspension_detector());
         for contact in due(&node, &gossip_state) {
-            lock(&gossip_state).begin(node.clock.now(), contact.address);
+            lock(&gossip_state).mark_in_flight(node.clock.now(), contact.address);
             tokio::spawn(exchange_hello(node.clone(), contact, gossip_state.clone()));
         }
         let interval = Duration::from_millis(CHECK_INTERVAL_MS);
-        let _ = tokio::time::timeout(interval, node.news.notified()).await;
+        let _ = tokio::time::timeout(interval, node.state_changed.notified()).await;
         let now = node.clock.now();
         let mut view = node.view();
         view.directory.expire(now);
@@ -72,18 +72,18 @@
         directory: &view.directory,
         own: &view.own,
         seeds: &seeds,
-        resting: &gossip_state.resting(now),
+        backed_off: &gossip_state.backed_off(now),
         is_busy: node.in_flight.load(std::sync::atomic::Ordering::Relaxed) > 0,
         lacks_configuration: view.table.is_none() && view.catalog.models.is_empty(),
-        is_young: node.is_young(now),
-        is_lost: gossip_state.silent_ms(now) >= ISOLATION_TIMEOUT_MS,
+        is_starting_up: node.recently_started(now),
+        is_isolated: gossip_state.ms_since_reply(now) >= ISOLATION_TIMEOUT_MS,
     };
     gossip_state.due(now, planner.contacts(), ends_position)
 }
 
 async fn exchange_hello(node: Arc<Node>, contact: Contact, gossip_state: Arc<Mutex<GossipState>>) {
     let address = contact.address;
-    let before = lock(&gossip_state).told(address);
+    let before = lock(&gossip_state).peer_state(address);
     let (hello, next) = build_hello(&node, &contact, before);
     let answer = node
         .peers
@@ -91,8 +91,8 @@
             client.hello(context, hello).await
         })
         .await;
-    if answer.is_ok() != before.answers {
-        let event = if before.answers {
+    if answer.is_ok() != before.is_responsive {
+        let event = if before.is_responsive {
             "peer_lost"
         } else {
             "peer_heard"
@@ -108,11 +108,11 @@
     node.metrics.greetings.with_label_values(&labels).inc();
     let now = node.clock.now();
     let Ok(answer) = answer else {
-        lock(&gossip_state).unanswered(now, &contact, before);
+        lock(&gossip_state).record_failure(now, &contact, before);
         return;
     };
     let (config_version, config_digest) = (answer.config_version, answer.config_digest);
-    let is_whole = answer.news.is_whole();
+    let is_whole = answer.news.is_complete();
     apply_answer(&node, &contact, next, answer, &gossip_state);
     if is_behind(&node, config_version) {
         pull(&node, address).await;
@@ -127,7 +127,8 @@
     // failed, or another one may still be in flight.
     let is_asked = contact.scope != Scope::Nothing;
     if is_asked && is_whole && !is_behind(&node, config_version) {
-        node.standstill().heard(Millis(next.at));
+        node.suspension_detector()
+            .news_received(Millis(next.last_sent_ms));
     }
 }
 
@@ -150,9 +151,9 @@
     gossip_state: &Mutex<GossipState>,
 ) {
     let now = node.clock.now();
-    node.take_halls(&answer.halls, Source::Greeting);
+    node.apply_hall_updates(&answer.halls, UpdateSource::Greeting);
     node.receive_target_ends(answer.ends);
-    let answered = Answered {
+    let answered = GossipReply {
         unknown_caller: answer.unknown_caller,
         cursor: answer.news.cursor,
         has_more: answer.news.has_more,
@@ -161,7 +162,7 @@
     let applied = {
         let mut view = node.view();
         let mut gossip_state = lock(gossip_state);
-        gossip_state.answered(now, contact, next, answered);
+        gossip_state.record_reply(now, contact, next, answered);
         node.metrics
             .count_exchanged_records("received", &answer.news);
         let own = view.own.instance.clone();
@@ -195,7 +196,7 @@
         apply::apply_changes(node, applied.changed);
     }
     if answered.has_more {
-        node.news.notify_waiters();
+        node.state_changed.notify_waiters();
     }
 }
 
@@ -232,6 +233,6 @@
         })
         .await;
     if let Ok(state) = pulled {
-        node.take_state(&state, Source::Pull);
+        node.merge_state(&state, UpdateSource::Pull);
     }
 }
--- a/crates/moleroad_gateway/src/grants.rs
+++ b/crates/moleroad_gateway/src/grants.rs
@@ -4,7 +4,7 @@
 use crate::limit_grants;
 use crate::node::Node;
 use crate::peer::{EngineLoad, GrantAnswer, GrantRequest, LimitGrantRequest, PeerClient};
-use crate::places::Ask;
+use crate::places::PlaceRequest;
 use moleroad_dispatch::prelude::*;
 use moleroad_types::prelude::Millis;
 use std::net::SocketAddr;
@@ -23,7 +23,11 @@
 
 /// Obtains the grants that a send to the chosen target needs; `None` when one of them
 /// is refused.
-pub async fn admit(node: &Arc<Node>, request: &Ask, chosen: Candidate) -> Option<Candidate> {
+pub async fn admit(
+    node: &Arc<Node>,
+    request: &PlaceRequest,
+    chosen: Candidate,
+) -> Option<Candidate> {
     let asked_at = node.clock.now();
     let (admission, is_cold) = {
         let view = node.view();
@@ -143,10 +147,10 @@
 
 /// Returns whether the target can still accept the request after the wait for the
 /// grant.
-fn is_still_eligible(node: &Node, request: &Ask, granted: &Candidate) -> bool {
+fn is_still_eligible(node: &Node, request: &PlaceRequest, granted: &Candidate) -> bool {
     let now = node.clock.now();
     let view = node.view();
-    let least = node.least_version(&view, &request.service);
+    let least = node.min_version(&view, &request.service);
     let places = view.services.get(&request.service);
     let chosen = std::slice::from_ref(granted);
     places.is_some_and(|places| {
@@ -158,7 +162,7 @@
 }
 
 /// Returns whether the request needs a grant to go to the target.
-pub fn needs_grant(node: &Node, request: &Ask, candidate: &Candidate) -> bool {
+pub fn needs_grant(node: &Node, request: &PlaceRequest, candidate: &Candidate) -> bool {
     let now = node.clock.now();
     let view = node.view();
     let places = view.services.get(&request.service);
@@ -167,12 +171,12 @@
 
 /// Returns whether a send to a target of `service` may begin now, that is, whether it
 /// has the grant or the quota that it needs, not yet expired.
-pub fn holds(node: &Node, service: &str, candidate: &Candidate) -> bool {
+pub fn may_send(node: &Node, service: &str, candidate: &Candidate) -> bool {
     let now = node.clock.now();
     let holds = {
         let view = node.view();
         let places = view.services.get(service);
-        places.is_some_and(|places| places.targets.may_begin(now, candidate))
+        places.is_some_and(|places| places.targets.may_still_send(now, candidate))
     };
     if !holds {
         node.metrics.count("grant_lapsed");
@@ -191,7 +195,7 @@
     let Some(cold) = candidate.cold.as_deref() else {
         return false;
     };
-    let cold_left_by_age = |age_ms| cold.lasts_ms.saturating_sub(age_ms);
+    let cold_left_by_age = |age_ms| cold.cold_duration_ms.saturating_sub(age_ms);
     let left_by_age_ms = load.engine_age_ms.map_or(0, cold_left_by_age);
     let left_ms = left_by_age_ms.max(load.cold_left_ms);
     if left_ms > 0 {
--- a/crates/moleroad_gateway/src/hall_calls.rs
+++ b/crates/moleroad_gateway/src/hall_calls.rs
@@ -115,7 +115,7 @@
     let halls: BTreeSet<&str> = named.chain(changed).chain(of_targets).collect();
     let halls = halls.into_iter();
     halls
-        .map(|hall| listed(&view, hall, view.state.evacuations.of(hall)))
+        .map(|hall| listed(&view, hall, view.state.evacuations.state_of(hall)))
         .collect()
 }
 
@@ -135,7 +135,7 @@
     let of_hall = targets.filter(|observed| observed.record.hall == hall);
     let own = of_hall.filter_map(|observed| {
         let places = view.services.get(&observed.record.service)?;
-        Some(places.targets.load(&observed.record.id).own())
+        Some(places.targets.load(&observed.record.id).own_in_flight())
     });
     own.sum()
 }
--- a/crates/moleroad_gateway/src/hall_orders.rs
+++ b/crates/moleroad_gateway/src/hall_orders.rs
@@ -69,13 +69,16 @@
     if !regions.is_empty() && !regions.contains_key(hall) {
         return Err(HallError::Unknown(hall.to_string()));
     }
-    if node.standstill().may_read_backlog(node.clock.now()) {
+    if node
+        .suspension_detector()
+        .may_read_backlog(node.clock.now())
+    {
         return Err(HallError::MayBeOld);
     }
     let order = HallOrder {
         hall: hall.to_string(),
         evacuated,
-        based_on: node.view().state.evacuations.of(hall).revision,
+        based_on: node.view().state.evacuations.state_of(hall).revision,
     };
     match operator::order_hall(node, order).await {
         None => Err(HallError::Unreachable),
