--- a/crates/moleroad_gateway/src/hall_updates.rs
+++ b/crates/moleroad_gateway/src/hall_updates.rs
@@ -1,13 +1,13 @@
 //! Application of hall updates, with logs and metrics.
 
-use crate::halls::{HallChange, HallUpdate, HallUpdates, Source};
+use crate::halls::{HallChange, HallUpdate, HallUpdates, UpdateSource};
 use crate::node::Node;
-use crate::places::Ask;
+use crate::places::PlaceRequest;
 
 impl Node {
     /// Merges the states of halls; returns true if anything changed. Requests follow
     /// the new state from then on.
-    pub fn take_halls(&self, updates: &HallUpdates, source: Source) -> bool {
+    pub fn apply_hall_updates(&self, updates: &HallUpdates, source: UpdateSource) -> bool {
         let now = self.clock.now();
         let changes = {
             let mut view = self.view();
@@ -26,7 +26,7 @@
         true
     }
 
-    fn report_hall_change(&self, change: &HallChange, source: Source) {
+    fn report_hall_change(&self, change: &HallChange, source: UpdateSource) {
         let HallUpdate { state, age_ms } = change.update;
         let hall = change.hall.as_str();
         log::info!(
@@ -40,7 +40,7 @@
             ""
         );
         // A process cannot learn of a change before its own start.
-        let late_ms = age_ms.min(self.clock.now().since(self.began_at));
+        let late_ms = age_ms.min(self.clock.now().since(self.started_at));
         self.metrics
             .hall_update_age_s
             .observe(late_ms as f64 / 1_000.0);
@@ -52,15 +52,18 @@
     /// Counts a request that may not go to targets of evacuated halls. The first
     /// diverted request of each hall is logged; their number is logged when the hall is
     /// restored.
-    pub fn count_diversions(&self, request: &Ask) {
+    pub fn count_diversions(&self, request: &PlaceRequest) {
         let now = self.clock.now();
         let diversions = {
             let mut view = self.view();
-            let least = self.least_version(&view, &request.service);
+            let least = self.min_version(&view, &request.service);
             view.count_diversions(&request.service, request.needs(now, least))
         };
         for hall in &diversions.halls {
-            self.metrics.kept_away.with_label_values(&[hall]).inc();
+            self.metrics
+                .diverted_requests
+                .with_label_values(&[hall])
+                .inc();
         }
         let service = request.service.as_str();
         for hall in &diversions.first {
--- a/crates/moleroad_gateway/src/halls.rs
+++ b/crates/moleroad_gateway/src/halls.rs
@@ -3,7 +3,7 @@
 
 use crate::evacuations::{Evacuations, HallState};
 use crate::view::View;
-use moleroad_dispatch::prelude::{Exclusion, Requirements, barrier};
+use moleroad_dispatch::prelude::{Exclusion, Requirements, exclusion};
 use moleroad_types::prelude::Millis;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -29,7 +29,7 @@
 
 /// Path on which an update of a hall arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Source {
+pub enum UpdateSource {
     /// This process's member of the control group.
     Log,
     /// The leader's answer to an operator's call or read.
@@ -72,7 +72,7 @@
 impl View {
     /// Returns whether the targets of `hall` receive no requests.
     pub fn is_evacuated(&self, hall: &str) -> bool {
-        self.state.evacuations.of(hall).evacuated
+        self.state.evacuations.state_of(hall).evacuated
     }
 
     /// Returns when `hall` was restored, as far as known; `None` if it never was or is
@@ -87,7 +87,7 @@
         let mut changes = Vec::new();
         for (hall, update) in updates {
             let is_new = self.state.evacuations.merge_hall(hall, update.state);
-            let known = self.state.evacuations.of(hall);
+            let known = self.state.evacuations.state_of(hall);
             if known.revision != update.state.revision {
                 continue;
             }
@@ -136,7 +136,7 @@
             return diverted;
         };
         let excluded = places.targets.candidates().iter();
-        let excluded = excluded.filter(|c| barrier(c, needs) == Some(Exclusion::Evacuated));
+        let excluded = excluded.filter(|c| exclusion(c, needs) == Some(Exclusion::Evacuated));
         for candidate in excluded {
             if let Some(observed) = self.directory.target(&candidate.id) {
                 diverted.halls.insert(observed.record.hall.clone());
--- a/crates/moleroad_gateway/src/limit_grants.rs
+++ b/crates/moleroad_gateway/src/limit_grants.rs
@@ -30,7 +30,10 @@
     /// before any was requested.
     pub fn min_available(&self, now: Millis) -> Option<u32> {
         let mut buckets = self.lock();
-        buckets.values_mut().map(|bucket| bucket.free(now)).min()
+        buckets
+            .values_mut()
+            .map(|bucket| bucket.available(now))
+            .min()
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<TargetId, TokenBucket>> {
--- a/crates/moleroad_gateway/src/listening.rs
+++ b/crates/moleroad_gateway/src/listening.rs
@@ -28,7 +28,7 @@
     loop {
         match listener.accept().await {
             Ok((connection, _)) => {
-                crate::peers::prepare(&connection);
+                crate::peers::configure_socket(&connection);
                 tokio::spawn(serve(connection));
             }
             Err(error) => {
--- a/crates/moleroad_gateway/src/logging.rs
+++ b/crates/moleroad_gateway/src/logging.rs
@@ -76,7 +76,7 @@
 
 fn format_line(instance: &str, record: &log::Record) -> serde_json::Value {
     let mut fields = serde_json::Map::new();
-    let up_ms = CLOCK.get().map_or(0, Clock::up_ms);
+    let up_ms = CLOCK.get().map_or(0, Clock::uptime_ms);
     fields.insert("up_ms".into(), up_ms.into());
     fields.insert("instance".into(), instance.into());
     fields.insert("level".into(), record.level().as_str().into());
--- a/crates/moleroad_gateway/src/management_api.rs
+++ b/crates/moleroad_gateway/src/management_api.rs
@@ -69,7 +69,7 @@
         Some(ManagementCall::Metrics) => plain(StatusCode::OK, node.metrics.render()),
         Some(ManagementCall::ReadConfiguration) => read_configuration(&node).await,
         Some(ManagementCall::Deregister(id)) => {
-            target_updates::gone(&node, &id).await;
+            target_updates::deregister(&node, &id).await;
             document(&node, StatusCode::OK, b"{}".to_vec())
         }
         Some(ManagementCall::EvacuateHall(hall)) => order_hall(&node, &hall, true).await,
@@ -115,7 +115,7 @@
         let allowed = allowed.unwrap_or_default();
         let draw = rand::random();
         view.directory
-            .addresses_for(now, hall, region, &allowed, draw)
+            .entry_addresses_for(now, hall, region, &allowed, draw)
     };
     if addresses.is_empty() {
         let reason = "MR-6303 no entry is known to be ready";
--- a/crates/moleroad_gateway/src/metrics.rs
+++ b/crates/moleroad_gateway/src/metrics.rs
@@ -2,7 +2,7 @@
 
 use crate::counted_stream::PeerBytes;
 use crate::evacuations::Evacuations;
-use moleroad_directory::prelude::{Directory, News};
+use moleroad_directory::prelude::{Directory, DirectoryDelta};
 use prometheus::{
     Encoder, Histogram, HistogramOpts, IntCounterVec, IntGauge, IntGaugeVec, Opts, Registry,
     TextEncoder,
@@ -33,11 +33,11 @@
     /// Age of an update about a data hall when it arrived here, in seconds.
     pub hall_update_age_s: Histogram,
     /// Requests that were not sent to a data hall because it is evacuated, by hall.
-    pub kept_away: IntCounterVec,
+    pub diverted_requests: IntCounterVec,
     /// Gossip exchanges with other daemons, by kind of peer asked and outcome.
     pub greetings: IntCounterVec,
     /// Records sent to or received from other daemons, by direction and kind.
-    pub told: IntCounterVec,
+    pub exchanged_records: IntCounterVec,
     /// Records held by this daemon, by kind.
     pub records: IntGaugeVec,
     peer_bytes: IntCounterVec,
@@ -76,7 +76,7 @@
             )
             .expect("the metric options are valid"),
             hall_update_age_s: latency("moleroad_hall_news_seconds", "Age of news of a data hall"),
-            kept_away: counters(
+            diverted_requests: counters(
                 "moleroad_kept_away_total",
                 "Requests kept away from evacuated data halls",
                 &["hall"],
@@ -86,7 +86,7 @@
                 "Greetings of other daemons by what was asked and outcome",
                 &["asked", "outcome"],
             ),
-            told: counters(
+            exchanged_records: counters(
                 "moleroad_told_records_total",
                 "Records told to other daemons and heard from them",
                 &["direction", "kind"],
@@ -119,9 +119,9 @@
             Box::new(self.halls_evacuated.clone()),
             Box::new(self.hall_revision.clone()),
             Box::new(self.hall_update_age_s.clone()),
-            Box::new(self.kept_away.clone()),
+            Box::new(self.diverted_requests.clone()),
             Box::new(self.greetings.clone()),
-            Box::new(self.told.clone()),
+            Box::new(self.exchanged_records.clone()),
             Box::new(self.records.clone()),
             Box::new(self.peer_bytes.clone()),
         ];
@@ -147,13 +147,13 @@
     }
 
     /// Counts the records of an answer; `direction` is `sent` or `received`.
-    pub fn count_exchanged_records(&self, direction: &str, delta: &News) {
+    pub fn count_exchanged_records(&self, direction: &str, delta: &DirectoryDelta) {
         for (kind, count) in [
             ("daemon", delta.daemons.len()),
             ("load", delta.loads.len()),
             ("target", delta.targets.len()),
         ] {
-            let counter = self.told.with_label_values(&[direction, kind]);
+            let counter = self.exchanged_records.with_label_values(&[direction, kind]);
             counter.inc_by(count as u64);
         }
     }
--- a/crates/moleroad_gateway/src/no_place.rs
+++ b/crates/moleroad_gateway/src/no_place.rs
@@ -1,7 +1,7 @@
 //! Why a request gets no slot, and when its caller should retry.
 
 use crate::node::Node;
-use crate::places::{Ask, ServicePlaces};
+use crate::places::{PlaceRequest, ServiceSlots};
 use crate::view::View;
 use moleroad_dispatch::prelude::*;
 use moleroad_types::prelude::{AllowedRegions, Millis};
@@ -58,20 +58,20 @@
 
 /// Returns the time until the first eligible target ends its backoff, in milliseconds;
 /// `None` when one is available now or none is in backoff.
-fn backoff_left_ms(now: Millis, places: &ServicePlaces, needs: Requirements<'_>) -> Option<u64> {
-    let backoff_end = places.targets.rested_at(needs)?;
+fn backoff_left_ms(now: Millis, places: &ServiceSlots, needs: Requirements<'_>) -> Option<u64> {
+    let backoff_end = places.targets.backoff_ends(needs)?;
     Some(backoff_end.any.since(now).max(MIN_RETRY_AFTER_MS))
 }
 
 /// Returns the retry delay of a request that its targets rejected, in milliseconds. The
 /// retry has another id, so that it may go to any target that is not in backoff.
-pub(crate) fn turned_away_retry_ms(node: &Node, view: &View, request: &Ask) -> u64 {
+pub(crate) fn rejected_retry_ms(node: &Node, view: &View, request: &PlaceRequest) -> u64 {
     let now = node.clock.now();
-    let retry = Ask {
+    let retry = PlaceRequest {
         tried: Vec::new(),
         ..request.clone()
     };
-    let needs = retry.needs(now, node.least_version(view, &request.service));
+    let needs = retry.needs(now, node.min_version(view, &request.service));
     let places = view.services.get(&request.service);
     let backoff_left_ms = places.and_then(|places| backoff_left_ms(now, places, needs));
     backoff_left_ms.map_or(REJECTED_RETRY_MS, |ms| ms + random_jitter_ms())
@@ -83,8 +83,8 @@
 }
 
 /// Returns the state of slots for this request.
-pub(crate) fn no_place_for(node: &Node, view: &View, request: &Ask) -> NoPlace {
-    let least = node.least_version(view, &request.service);
+pub(crate) fn no_place_for(node: &Node, view: &View, request: &PlaceRequest) -> NoPlace {
+    let least = node.min_version(view, &request.service);
     let places = view.services.get(&request.service);
     let now = node.clock.now();
     let entries = view.entry_count(now);
@@ -96,7 +96,7 @@
 /// one; 0 while some target has no rate limit.
 fn rate_limited_wait_ms(
     now: Millis,
-    places: Option<&ServicePlaces>,
+    places: Option<&ServiceSlots>,
     needs: Requirements<'_>,
     entries: usize,
 ) -> u64 {
@@ -110,7 +110,7 @@
 /// of entries that share the targets.
 pub(crate) fn no_place(
     now: Millis,
-    places: Option<&ServicePlaces>,
+    places: Option<&ServiceSlots>,
     needs: Requirements<'_>,
     entries: usize,
 ) -> NoPlace {
@@ -133,6 +133,6 @@
         retry_after_ms: wait_ms + random_jitter_ms(),
         waiting: places.map_or(0, |places| places.waiting()),
         candidates,
-        free_places: places.map_or(0, |places| places.targets.free_places(now, regions) as u64),
+        free_places: places.map_or(0, |places| places.targets.free_slots(now, regions) as u64),
     }
 }
--- a/crates/moleroad_gateway/src/node.rs
+++ b/crates/moleroad_gateway/src/node.rs
@@ -7,13 +7,13 @@
 use crate::control_member::ControlMember;
 use crate::control_state::{ControlCommand, ControlState};
 use crate::front::pool::Pool;
-use crate::halls::{Source, current_updates};
+use crate::halls::{UpdateSource, current_updates};
 use crate::interface::{Interface, PieceDigests};
 use crate::limit_grants::LimitGrants;
 use crate::metrics::Metrics;
 use crate::peer::LeaderHint;
 use crate::peers::Peers;
-use crate::places::Ask;
+use crate::places::PlaceRequest;
 use crate::region_warnings;
 use crate::settings::{RoleSetting, Settings};
 use crate::suspension::SuspensionDetector;
@@ -21,7 +21,7 @@
 use crate::view::View;
 use moleroad_consensus::prelude::MemberInfo;
 use moleroad_directory::prelude::*;
-use moleroad_rollout::prelude::OldWeights;
+use moleroad_rollout::prelude::OldWeightsCutoff;
 use moleroad_types::prelude::{InstanceId, Millis};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -36,20 +36,20 @@
     /// Monotonic clock.
     pub clock: Clock,
     /// Start time of the process.
-    pub began_at: Millis,
+    pub started_at: Millis,
     /// Adapter to the names, formats and calls of callers, targets, operators and
     /// origins.
     pub interface: Arc<dyn Interface>,
     /// Connections to other daemons.
     pub peers: Peers,
     /// This process's member of the control group; `None` without a disk.
-    pub core: Option<ControlMember>,
+    pub control_member: Option<ControlMember>,
     /// Pooled connections to targets.
     pub pool: Pool,
     /// Metrics.
     pub metrics: Metrics,
     /// Wakes the task that sends this daemon's state to others.
-    pub news: Notify,
+    pub state_changed: Notify,
     /// Grants for this agent's engine while it is cold.
     pub cold_engine: ColdEngine,
     /// Grants for targets with a named limit that this daemon owns.
@@ -59,7 +59,7 @@
     /// Offers of other agents.
     pub offers: Mutex<Offers>,
     /// Wakes a fetch when an offer arrives.
-    pub offered: Notify,
+    pub offer_received: Notify,
     /// Number of requests received since demand was last measured.
     pub unmeasured_requests: AtomicUsize,
     /// Number of requests in progress.
@@ -86,23 +86,23 @@
         let began_at = clock.now();
         let metrics = Metrics::default();
         let suspension = match &core {
-            Some(core) if core.has_old_state => SuspensionDetector::with_old_state(began_at),
+            Some(core) if core.has_stored_state => SuspensionDetector::with_stored_state(began_at),
             _ => SuspensionDetector::new(began_at),
         };
         Self {
-            began_at,
+            started_at: began_at,
             clock,
             interface,
             peers: Peers::new(metrics.peer_bytes()),
-            core,
+            control_member: core,
             pool: Pool::default(),
             metrics,
-            news: Notify::new(),
+            state_changed: Notify::new(),
             cold_engine: ColdEngine::default(),
             limit_grants: LimitGrants::default(),
             pieces: Mutex::default(),
             offers: Mutex::default(),
-            offered: Notify::new(),
+            offer_received: Notify::new(),
             unmeasured_requests: AtomicUsize::new(0),
             in_flight: AtomicUsize::new(0),
             seeds: Mutex::new(settings.seed_peers()),
@@ -131,10 +131,10 @@
 
     /// Locks the suspension detector, updated with the current time. The guard must not be
     /// held across an await.
-    pub fn standstill(&self) -> MutexGuard<'_, SuspensionDetector> {
+    pub fn suspension_detector(&self) -> MutexGuard<'_, SuspensionDetector> {
         let suspension = self.suspension.lock();
         let mut suspension = suspension.unwrap_or_else(|error| error.into_inner());
-        if suspension.look(self.clock.now()) {
+        if suspension.observe(self.clock.now()) {
             log::warn!(event = "stood_still"; "");
             self.metrics.count("stood_still");
         }
@@ -144,7 +144,10 @@
     /// Waits until this process has received what it missed while it was suspended or
     /// not running.
     pub async fn catch_up_after_suspension(&self) {
-        while self.standstill().waits_for_news(self.clock.now()) {
+        while self
+            .suspension_detector()
+            .must_wait_for_updates(self.clock.now())
+        {
             tokio::time::sleep(CATCH_UP_POLL).await;
         }
     }
@@ -208,8 +211,8 @@
 
     /// Returns whether this process started recently, so that daemons may exist that it
     /// does not know yet.
-    pub fn is_young(&self, now: Millis) -> bool {
-        now.since(self.began_at) < STARTUP_MS
+    pub fn recently_started(&self, now: Millis) -> bool {
+        now.since(self.started_at) < STARTUP_MS
     }
 
     /// Returns whether this process was asked to stop.
@@ -223,7 +226,7 @@
     }
 
     /// Rejects new requests from now on.
-    pub fn end(&self) {
+    pub fn stop_requests(&self) {
         self.stopping.store(true, Ordering::Relaxed);
     }
 
@@ -231,7 +234,7 @@
     pub fn leave(&self) {
         self.leaving.store(true, Ordering::Relaxed);
         self.update_own_record();
-        self.news.notify_waiters();
+        self.state_changed.notify_waiters();
     }
 
     /// Updates the record of this daemon that is sent to others.
@@ -254,13 +257,13 @@
     }
 
     /// Merges newer parts of `state`; returns true if anything changed.
-    pub fn take_state(&self, state: &ControlState, source: Source) -> bool {
-        let halls_changed = self.take_halls(&current_updates(&state.evacuations), source);
+    pub fn merge_state(&self, state: &ControlState, source: UpdateSource) -> bool {
+        let halls_changed = self.apply_hall_updates(&current_updates(&state.evacuations), source);
         let now = self.clock.now();
         let changed = {
             let mut view = self.view();
             let before = view.state.config_version();
-            let changed = view.take_state(now, state, &*self.interface);
+            let changed = view.merge_state(now, state, &*self.interface);
             if view.state.config_version() > before {
                 region_warnings::log(&self.settings, &view);
             }
@@ -293,7 +296,7 @@
             let version = committed.config_version().0;
             log::error!(event = "configuration_corrected", version = version; "");
         }
-        self.take_state(committed, Source::Answer)
+        self.merge_state(committed, UpdateSource::Answer)
     }
 
     /// Lets agents prepare for a state that is not known to be committed.
@@ -303,16 +306,16 @@
     }
 
     /// Returns the lowest allowed version of weights for `service`; see
-    /// [`View::least_version`].
-    pub fn least_version(&self, view: &View, service: &str) -> Option<u64> {
+    /// [`View::min_version`].
+    pub fn min_version(&self, view: &View, service: &str) -> Option<u64> {
         let table = view.table.as_ref()?;
         let service = table.service(service)?;
-        view.least_version(self.clock.now(), service, self.settings.bounds.version_ms)
+        view.min_version(self.clock.now(), service, self.settings.bounds.version_ms)
     }
 
     /// Returns until when requests may start at a target whose weights are older than
     /// the newest; see [`View::old_weights`].
-    pub fn old_weights(&self, service: &str, version: Option<u64>) -> Option<OldWeights> {
+    pub fn old_weights(&self, service: &str, version: Option<u64>) -> Option<OldWeightsCutoff> {
         let view = self.view();
         let table = view.table.as_ref()?;
         let service = table.service(service)?;
@@ -321,10 +324,10 @@
 
     /// Returns the expected wait of an overdue request for a slot, in milliseconds;
     /// `None` when it is unknown.
-    pub fn expected_wait_ms(&self, request: &Ask) -> Option<u64> {
+    pub fn expected_wait_ms(&self, request: &PlaceRequest) -> Option<u64> {
         let now = self.clock.now();
         let view = self.view();
-        let least = self.least_version(&view, &request.service);
+        let least = self.min_version(&view, &request.service);
         let places = view.services.get(&request.service);
         places.and_then(|places| places.expected_overdue_wait_ms(now, request.needs(now, least)))
     }
@@ -335,7 +338,7 @@
         let mut view = self.view();
         let names: Vec<String> = view.services.keys().cloned().collect();
         for name in names {
-            let least = self.least_version(&view, &name);
+            let least = self.min_version(&view, &name);
             if let Some(places) = view.services.get_mut(&name) {
                 places.serve_waiting(now, least);
             }
--- a/crates/moleroad_gateway/src/operator.rs
+++ b/crates/moleroad_gateway/src/operator.rs
@@ -1,12 +1,12 @@
 //! Forwards changes by operators, and reads of the control state, from any daemon
 //! to the leader of the control group.
 
-use crate::control_member::Committed;
+use crate::control_member::ProposalOutcome;
 use crate::control_state::{ControlCommand, ControlState, DocumentId};
 use crate::evacuations::{HallOrder, HallOrderResult};
-use crate::halls::{HallUpdate, HallUpdates, Source};
+use crate::halls::{HallUpdate, HallUpdates, UpdateSource};
 use crate::node::Node;
-use crate::peer::{CommitAnswer, LeaderHint};
+use crate::peer::{LeaderHint, ProposeAnswer};
 use moleroad_quarantine::prelude::TrialOrder;
 use moleroad_types::prelude::Millis;
 use std::net::SocketAddr;
@@ -29,7 +29,7 @@
     if node.has_applied(&command) {
         return true;
     }
-    let CommitAnswer::Committed(decided) = answer else {
+    let ProposeAnswer::Committed(decided) = answer else {
         return false;
     };
     if !was_committed(&command, decided) {
@@ -39,7 +39,7 @@
     // A durable change is applied here before it is acknowledged.
     let mut state = ControlState::default();
     state.apply(&command);
-    node.take_state(&state, Source::Answer);
+    node.merge_state(&state, UpdateSource::Answer);
     true
 }
 
@@ -60,14 +60,14 @@
     let hall = wanted.hall.clone();
     let command = ControlCommand::OrderHall(wanted);
     let until = node.clock.now() + ANSWER_TIMEOUT_MS;
-    let CommitAnswer::Hall(verdict) = propose_with_retries(node, &command, until).await else {
+    let ProposeAnswer::Hall(verdict) = propose_with_retries(node, &command, until).await else {
         return None;
     };
     let update = HallUpdate {
         state: verdict.state,
         age_ms: 0,
     };
-    node.take_halls(&HallUpdates::from([(hall, update)]), Source::Answer);
+    node.apply_hall_updates(&HallUpdates::from([(hall, update)]), UpdateSource::Answer);
     Some(verdict)
 }
 
@@ -88,23 +88,23 @@
     node: &Arc<Node>,
     command: &ControlCommand,
     until: Millis,
-) -> CommitAnswer {
+) -> ProposeAnswer {
     let mut next = None;
     loop {
         if node.has_applied(command) {
-            return CommitAnswer::Committed(None);
+            return ProposeAnswer::Committed(None);
         }
         let left = until.since(node.clock.now());
         if left == 0 {
-            return CommitAnswer::Unknown;
+            return ProposeAnswer::Unknown;
         }
         let leader = next.take().or_else(|| node.leader_hint());
         let answer = match leader {
             Some(hint) => propose_at(node, hint.address, command, left.min(CALL_TIMEOUT_MS)).await,
-            None => CommitAnswer::NotLeader(None),
+            None => ProposeAnswer::NotLeader(None),
         };
         match answer {
-            CommitAnswer::NotLeader(hint) => {
+            ProposeAnswer::NotLeader(hint) => {
                 next = hint.filter(|hint| Some(hint.address) != leader.map(|l| l.address));
                 if next.is_none() {
                     pause(left).await;
@@ -112,7 +112,7 @@
             }
             // A hall order is idempotent, and only the log has its result: propose it
             // again.
-            CommitAnswer::Unknown if matches!(command, ControlCommand::OrderHall(_)) => {
+            ProposeAnswer::Unknown if matches!(command, ControlCommand::OrderHall(_)) => {
                 pause(left).await;
             }
             decided => return decided,
@@ -125,12 +125,12 @@
     address: SocketAddr,
     command: &ControlCommand,
     timeout_ms: u64,
-) -> CommitAnswer {
+) -> ProposeAnswer {
     if address == node.settings.peer_address() {
         let proposing = propose_locally(node, command.clone());
         let limit = Duration::from_millis(timeout_ms);
         let answer = tokio::time::timeout(limit, proposing).await;
-        return answer.unwrap_or(CommitAnswer::Unknown);
+        return answer.unwrap_or(ProposeAnswer::Unknown);
     }
     let command = command.clone();
     let timeout = Duration::from_millis(timeout_ms);
@@ -139,21 +139,23 @@
     };
     match node.peers.call(address, timeout, call).await {
         Ok(answer) => answer,
-        Err(crate::peers::CallError::NoAnswer) => CommitAnswer::Unknown,
-        Err(_) => CommitAnswer::NotLeader(None),
+        Err(crate::peers::CallError::NoAnswer) => ProposeAnswer::Unknown,
+        Err(_) => ProposeAnswer::NotLeader(None),
     }
 }
 
 /// Proposes a change to the control group member in this process.
-pub async fn propose_locally(node: &Node, command: ControlCommand) -> CommitAnswer {
-    let Some(core) = &node.core else {
-        return CommitAnswer::NotLeader(node.leader_hint());
+pub async fn propose_locally(node: &Node, command: ControlCommand) -> ProposeAnswer {
+    let Some(core) = &node.control_member else {
+        return ProposeAnswer::NotLeader(node.leader_hint());
     };
     match core.propose(command).await {
-        Committed::Yes(decided) => CommitAnswer::Committed(decided),
-        Committed::Hall(verdict) => CommitAnswer::Hall(verdict),
-        Committed::NotLeader(leader) => CommitAnswer::NotLeader(node.leader_hint_for(leader)),
-        Committed::Unknown => CommitAnswer::Unknown,
+        ProposalOutcome::Applied(decided) => ProposeAnswer::Committed(decided),
+        ProposalOutcome::Hall(verdict) => ProposeAnswer::Hall(verdict),
+        ProposalOutcome::NotLeader(leader) => {
+            ProposeAnswer::NotLeader(node.leader_hint_for(leader))
+        }
+        ProposalOutcome::Unknown => ProposeAnswer::Unknown,
     }
 }
 
@@ -213,7 +215,7 @@
 /// # Errors
 /// Returns the current leader, if known.
 pub async fn read_locally(node: &Node) -> Result<ControlState, Option<LeaderHint>> {
-    let Some(core) = &node.core else {
+    let Some(core) = &node.control_member else {
         return Err(node.leader_hint());
     };
     match core.read().await {
--- a/crates/moleroad_gateway/src/peer.rs
+++ b/crates/moleroad_gateway/src/peer.rs
@@ -156,7 +156,7 @@
     /// Whether the callee has no record of the caller.
     pub unknown_caller: bool,
     /// The requested delta of the callee's directory.
-    pub news: News,
+    pub news: DirectoryDelta,
     /// Version of the callee's configuration.
     pub config_version: ConfigVersion,
     /// Named versions of each model and their ages.
@@ -184,7 +184,7 @@
 
 /// Outcome of a change that another daemon forwarded to the leader.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum CommitAnswer {
+pub enum ProposeAnswer {
     /// The change, or a later one that supersedes it, is durable on a majority
     /// and applied. Carries the ID of the configuration in force afterwards.
     Committed(Option<DocumentId>),
@@ -284,7 +284,7 @@
     /// `to`.
     async fn pass_on(news: Vec<TargetUpdate>, to: Vec<SocketAddr>);
     /// Proposes a change to the leader.
-    async fn propose(command: ControlCommand) -> CommitAnswer;
+    async fn propose(command: ControlCommand) -> ProposeAnswer;
     /// Reads the current state from the leader.
     async fn read() -> Result<ControlState, Option<LeaderHint>>;
     /// Delivers the caller's state.
--- a/crates/moleroad_gateway/src/peer_server.rs
+++ b/crates/moleroad_gateway/src/peer_server.rs
@@ -2,13 +2,13 @@
 
 use crate::control_member::MemberInput;
 use crate::control_state::{ControlCommand, ControlState};
-use crate::halls::Source;
+use crate::halls::UpdateSource;
 use crate::listening::accept_connections;
 use crate::node::Node;
 use crate::operator;
 use crate::peer::{
-    CommitAnswer, EngineLoad, GrantAnswer, GrantRequest, Hello, HelloAnswer, LeaderHint,
-    LimitGrantRequest, Offer, Peer, SharedDigests, TargetUpdate,
+    EngineLoad, GrantAnswer, GrantRequest, Hello, HelloAnswer, LeaderHint, LimitGrantRequest,
+    Offer, Peer, ProposeAnswer, SharedDigests, TargetUpdate,
 };
 use crate::peers::transport;
 use futures::StreamExt;
@@ -54,20 +54,20 @@
     }
 
     async fn consensus(self, _: Context, from: MemberInfo, message: Message) {
-        if let Some(core) = &self.node.core {
-            core.tell(MemberInput::Receive(from, message));
+        if let Some(core) = &self.node.control_member {
+            core.send(MemberInput::Receive(from, message));
         }
     }
 
     async fn targets(self, _: Context, news: Vec<TargetUpdate>) {
-        crate::target_updates::take(&self.node, news);
+        crate::target_updates::apply_updates(&self.node, news);
     }
 
     async fn pass_on(self, _: Context, news: Vec<TargetUpdate>, to: Vec<SocketAddr>) {
         crate::target_updates::pass_on(&self.node, news, to).await;
     }
 
-    async fn propose(self, _: Context, command: ControlCommand) -> CommitAnswer {
+    async fn propose(self, _: Context, command: ControlCommand) -> ProposeAnswer {
         operator::propose_locally(&self.node, command).await
     }
 
@@ -76,7 +76,7 @@
     }
 
     async fn push(self, _: Context, state: ControlState) {
-        self.node.take_state(&state, Source::Push);
+        self.node.merge_state(&state, UpdateSource::Push);
     }
 
     async fn pull(self, _: Context) -> ControlState {
--- a/crates/moleroad_gateway/src/peers.rs
+++ b/crates/moleroad_gateway/src/peers.rs
@@ -110,7 +110,7 @@
             Ok(Ok(stream)) => stream,
             _ => return Err(CallError::Unreachable),
         };
-        prepare(&stream);
+        configure_socket(&stream);
         let mut connections = self.lock();
         if let Some(connection) = connections.open.get(&address) {
             return Ok(connection.clone());
@@ -163,7 +163,7 @@
 /// Sets the socket options that every connection between processes needs: no
 /// delay, and a timeout for unacknowledged data that closes the connection if
 /// the other side is silent.
-pub fn prepare(stream: &TcpStream) {
+pub fn configure_socket(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
     let socket = socket2::SockRef::from(stream);
     let _ = socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT));
--- a/crates/moleroad_gateway/src/places.rs
+++ b/crates/moleroad_gateway/src/places.rs
@@ -6,14 +6,14 @@
 use moleroad_directory::prelude::TargetId;
 use moleroad_dispatch::prelude::*;
 use moleroad_quarantine::prelude::RequestFingerprint;
-use moleroad_rollout::prelude::Arrival;
+use moleroad_rollout::prelude::ArrivalEstimate;
 use moleroad_types::prelude::{AllowedRegions, Millis};
 use std::collections::HashMap;
 use tokio::sync::oneshot;
 
 /// A request for a slot.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct PlaceRequest {
     /// Service that the request is for.
     pub service: String,
     /// Targets that the request was already sent to or that could not be reached.
@@ -48,17 +48,17 @@
 /// longer than that of any caller.
 const MIN_SLOT_SHARE: f64 = 0.01;
 
-impl Ask {
+impl PlaceRequest {
     /// Returns the requirements that a target has to meet at `now`, with `least` as the
     /// lowest version of the weights.
     pub fn needs(&self, now: Millis, least: Option<u64>) -> Requirements<'_> {
         Requirements {
             now,
             tried: &self.tried,
-            least,
+            min_version: least,
             prompt_tokens: self.prompt_tokens,
             first_event_within_ms: self.wanted_by.map(|wanted_by| wanted_by.since(now)),
-            spare: match self.line {
+            reserved_slots: match self.line {
                 WaitClass::InTime => 0,
                 WaitClass::Overdue => SLOTS_RESERVED_FOR_IN_TIME,
             },
@@ -68,12 +68,12 @@
 }
 
 struct WaitingRequest {
-    request: Ask,
+    request: PlaceRequest,
     granted: oneshot::Sender<Candidate>,
 }
 
 /// The targets of one service, its queue of waiting requests and its retry budget.
-pub struct ServicePlaces {
+pub struct ServiceSlots {
     /// Targets and their load.
     pub targets: Targets,
     /// Retry budget.
@@ -86,12 +86,12 @@
     /// Share of the slots that overdue requests may take.
     pub(crate) overdue_share: OverdueShare,
     /// Progress of weights that are being transferred to engines.
-    pub arrival: Arrival,
+    pub arrival: ArrivalEstimate,
     /// Transfer time of one piece of weights over the origin's link, in milliseconds.
     pub piece_ms: f64,
 }
 
-impl ServicePlaces {
+impl ServiceSlots {
     /// Creates the state of a service without targets.
     pub fn new(bounds: &Bounds) -> Self {
         Self {
@@ -106,14 +106,14 @@
             next_waiter: 0,
             overdue_waits: WaitEstimator::default(),
             overdue_share: OverdueShare::default(),
-            arrival: Arrival::default(),
+            arrival: ArrivalEstimate::default(),
             piece_ms: 0.0,
         }
     }
 
     /// Returns whether no request waits or is in flight.
     pub fn is_idle(&self) -> bool {
-        let in_flight = |c: &Candidate| self.targets.load(&c.id).own() > 0;
+        let in_flight = |c: &Candidate| self.targets.load(&c.id).own_in_flight() > 0;
         self.waiting.is_empty() && !self.targets.candidates().iter().any(in_flight)
     }
 
@@ -147,7 +147,7 @@
             let tokens = waiting.request.prompt_tokens;
             self.targets.started(now, &target, tokens);
             if waiting.granted.send(candidate).is_err() {
-                self.targets.was_read(&target, tokens);
+                self.targets.prompt_read(&target, tokens);
                 self.targets.finished(now, &target, Outcome::Abandoned);
             }
         }
@@ -156,7 +156,7 @@
     pub(crate) fn enqueue(
         &mut self,
         now: Millis,
-        request: &Ask,
+        request: &PlaceRequest,
     ) -> Option<(WaiterId, oneshot::Receiver<Candidate>)> {
         let regions = request.residency.allowed();
         let ahead = self.queue.count_ahead(request.line, regions);
@@ -164,18 +164,18 @@
         let id = WaiterId(self.next_waiter);
         let entered = self.queue.enter(Waiter {
             id,
-            line: request.line,
+            class: request.line,
             priority: request.priority,
             since: now,
-            wanted_by: request.wanted_by.unwrap_or(request.until),
-            until: request.until,
+            latency_deadline: request.wanted_by.unwrap_or(request.until),
+            expires_at: request.until,
             regions: regions.clone(),
         });
         if !entered {
             return None;
         }
         if request.line == WaitClass::Overdue {
-            self.overdue_waits.entered(now, ahead);
+            self.overdue_waits.record_enqueued(now, ahead);
         }
         let (granted, grant) = oneshot::channel();
         let request = request.clone();
@@ -185,36 +185,36 @@
 
     pub(crate) fn record_granted(&mut self, now: Millis, line: WaitClass) {
         if line == WaitClass::Overdue {
-            self.overdue_waits.granted(now);
+            self.overdue_waits.record_granted(now);
         }
     }
 
     /// Returns whether another overdue request may be sent: all entries together leave
     /// most slots to requests in time.
-    pub(crate) fn admits(&self, request: &Ask, entries: usize) -> bool {
+    pub(crate) fn admits(&self, request: &PlaceRequest, entries: usize) -> bool {
         if request.line == WaitClass::InTime {
             return true;
         }
         let regions = request.residency.allowed();
-        let own_slots = f64::from(self.targets.places(regions)) / entries.max(1) as f64;
+        let own_slots = f64::from(self.targets.total_slots(regions)) / entries.max(1) as f64;
         self.overdue_share.admits(own_slots, regions)
     }
 
     /// Applies the regions of the current configuration to the waiting requests.
     pub(crate) fn refresh_residency(&mut self, table: &RouteTable) {
         for (id, waiting) in &mut self.waiting {
-            let residency = waiting.request.residency.under(table);
+            let residency = waiting.request.residency.for_configuration(table);
             self.queue.set_regions(*id, residency.allowed());
             waiting.request.residency = residency;
         }
     }
 
     /// Records whether a request got a slot in time.
-    pub fn note_in_time(&mut self, is_placed: bool) {
+    pub fn record_in_time_outcome(&mut self, is_placed: bool) {
         if is_placed {
-            self.overdue_share.in_time_placed();
+            self.overdue_share.record_hit();
         } else {
-            self.overdue_share.in_time_missed();
+            self.overdue_share.record_miss();
         }
     }
 
@@ -222,7 +222,7 @@
     /// `None` when no target can take any request and it is unknown when one will.
     pub fn expected_overdue_wait_ms(&self, now: Millis, needs: Requirements<'_>) -> Option<u64> {
         if !self.targets.any_eligible(needs) {
-            let backoff_end = self.targets.rested_at(needs);
+            let backoff_end = self.targets.backoff_ends(needs);
             let backoff_end = backoff_end.and_then(|backoff_ends| backoff_ends.untried);
             let backoff_left_ms = backoff_end.map(|at| at.since(now));
             let estimates = [backoff_left_ms, self.expected_outage_ms(now)];
@@ -232,7 +232,8 @@
         let regions = needs.regions.unwrap_or(&all);
         let ahead = self.queue.count_ahead(WaitClass::Overdue, regions);
         // Slots become free less often in proportion to the share of these regions.
-        let share = f64::from(self.targets.places(regions)) / f64::from(self.targets.places(&all));
+        let share = f64::from(self.targets.total_slots(regions))
+            / f64::from(self.targets.total_slots(&all));
         let wait_ms = self.overdue_waits.expected_wait_ms(now, ahead);
         Some((wait_ms / share.max(MIN_SLOT_SHARE)) as u64)
     }
--- a/crates/moleroad_gateway/src/probe.rs
+++ b/crates/moleroad_gateway/src/probe.rs
@@ -10,9 +10,9 @@
 use crate::grants;
 use crate::node::Node;
 use crate::peer::{EngineLoad, PeerClient};
-use crate::places::Ask;
+use crate::places::PlaceRequest;
 use moleroad_dispatch::prelude::*;
-use moleroad_rollout::prelude::OldWeights;
+use moleroad_rollout::prelude::OldWeightsCutoff;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,9 +26,9 @@
 
 /// Selects a target for the request and counts the send; returns `None` when none of
 /// the probed targets has a slot.
-pub async fn find(node: &Arc<Node>, request: &Ask) -> Option<Candidate> {
+pub async fn find(node: &Arc<Node>, request: &PlaceRequest) -> Option<Candidate> {
     let draw: u64 = rand::random();
-    let queries_agents = node.settings.experiments.has(Mechanism::AskedAgents);
+    let queries_agents = node.settings.experiments.is_enabled(Mechanism::AskedAgents);
     if !queries_agents || !have_agents(node, request) {
         let chosen = choose(node, request, draw);
         if chosen.is_some() {
@@ -80,7 +80,7 @@
 
     /// Adds a target whose agent did not respond, if the request can still start there
     /// in time.
-    fn add_unresponsive(&mut self, node: &Node, request: &Ask, candidate: Candidate) {
+    fn add_unresponsive(&mut self, node: &Node, request: &PlaceRequest, candidate: Candidate) {
         if !may_send_unprobed(node, request, &candidate) {
             return;
         }
@@ -98,7 +98,7 @@
 /// Selects the best of the probed targets that admits the request, and counts the send.
 async fn admit_best(
     node: &Arc<Node>,
-    request: &Ask,
+    request: &PlaceRequest,
     mut probed: Vec<Candidate>,
 ) -> Option<Candidate> {
     while let Some(best) = best_of(node, request, &probed) {
@@ -110,42 +110,42 @@
     None
 }
 
-fn have_agents(node: &Node, request: &Ask) -> bool {
+fn have_agents(node: &Node, request: &PlaceRequest) -> bool {
     let view = node.view();
     let places = view.services.get(&request.service);
     places.is_some_and(|places| places.targets.have_agents())
 }
 
 /// Chooses by known state, without probing.
-fn choose(node: &Node, request: &Ask, draw: u64) -> Option<Candidate> {
+fn choose(node: &Node, request: &PlaceRequest, draw: u64) -> Option<Candidate> {
     let now = node.clock.now();
     let choice = {
         let view = node.view();
-        let least = node.least_version(&view, &request.service);
+        let least = node.min_version(&view, &request.service);
         let places = view.services.get(&request.service)?;
         places.targets.choose(now, request.needs(now, least), draw)
     };
     match choice {
         Choice::Send(candidate) => Some(count_send(node, request, candidate)),
-        Choice::Full | Choice::Nobody => None,
+        Choice::Full | Choice::NoTarget => None,
     }
 }
 
 /// Returns targets that need a grant from their owners.
-fn grant_candidates(node: &Node, request: &Ask, draw: u64) -> Vec<Candidate> {
+fn grant_candidates(node: &Node, request: &PlaceRequest, draw: u64) -> Vec<Candidate> {
     let now = node.clock.now();
     let view = node.view();
-    let least = node.least_version(&view, &request.service);
+    let least = node.min_version(&view, &request.service);
     let places = view.services.get(&request.service);
     places.map_or_else(Vec::new, |places| {
         places
             .targets
-            .on_grant(now, request.needs(now, least), draw)
+            .grant_candidates(now, request.needs(now, least), draw)
     })
 }
 
 /// Adds the send to the known load of the target.
-fn count_send(node: &Node, request: &Ask, candidate: Candidate) -> Candidate {
+fn count_send(node: &Node, request: &PlaceRequest, candidate: Candidate) -> Candidate {
     let now = node.clock.now();
     let mut view = node.view();
     if let Some(places) = view.services.get_mut(&request.service) {
@@ -155,17 +155,17 @@
     candidate
 }
 
-fn best_of(node: &Node, request: &Ask, probed: &[Candidate]) -> Option<Candidate> {
+fn best_of(node: &Node, request: &PlaceRequest, probed: &[Candidate]) -> Option<Candidate> {
     let now = node.clock.now();
     let view = node.view();
-    let least = node.least_version(&view, &request.service);
+    let least = node.min_version(&view, &request.service);
     let places = view.services.get(&request.service)?;
     places
         .targets
         .best_of(now, request.needs(now, least), probed)
 }
 
-fn is_good_enough(node: &Node, request: &Ask, candidate: &Candidate) -> bool {
+fn is_good_enough(node: &Node, request: &PlaceRequest, candidate: &Candidate) -> bool {
     let view = node.view();
     let places = view.services.get(&request.service);
     places.is_some_and(|places| places.targets.is_good_enough(node.clock.now(), candidate))
@@ -175,14 +175,14 @@
 /// those whose agents did not respond.
 async fn probe_agents(
     node: &Arc<Node>,
-    request: &Ask,
+    request: &PlaceRequest,
     reach: SearchScope,
     draw: u64,
 ) -> ProbeResults {
     let now = node.clock.now();
     let (drawn, backing_off) = {
         let view = node.view();
-        let least = node.least_version(&view, &request.service);
+        let least = node.min_version(&view, &request.service);
         let Some(places) = view.services.get(&request.service) else {
             return ProbeResults::default();
         };
@@ -235,31 +235,31 @@
 }
 
 /// Returns whether the target's agent did not respond to the last probe.
-fn agent_is_unresponsive(node: &Node, request: &Ask, candidate: &Candidate) -> bool {
+fn agent_is_unresponsive(node: &Node, request: &PlaceRequest, candidate: &Candidate) -> bool {
     let view = node.view();
     let places = view.services.get(&request.service);
     places.is_some_and(|places| {
         let load = places.targets.load(&candidate.id);
-        load.is_silent(node.clock.now())
+        load.is_unresponsive(node.clock.now())
     })
 }
 
 /// Returns whether a target may receive the request although its agent does not
 /// respond. A target that is cold or has named a limit may not, since only its agent
 /// knows the load from other entries.
-fn may_send_unprobed(node: &Node, request: &Ask, candidate: &Candidate) -> bool {
+fn may_send_unprobed(node: &Node, request: &PlaceRequest, candidate: &Candidate) -> bool {
     if grants::needs_grant(node, request, candidate) {
         return false;
     }
     let old = node.old_weights(&request.service, candidate.version);
-    let may_send = |old: OldWeights| old.may_send_to_silent(node.clock.now());
+    let may_send = |old: OldWeightsCutoff| old.may_send_to_silent(node.clock.now());
     candidate.agent.is_none() || old.is_none_or(may_send)
 }
 
 /// Probes one agent; its answer updates the known load even when it arrives late.
 fn query_agent(
     node: &Arc<Node>,
-    request: &Ask,
+    request: &PlaceRequest,
     candidate: &Candidate,
     agent: SocketAddr,
 ) -> JoinHandle<Option<EngineLoad>> {
@@ -273,7 +273,7 @@
         let mut view = node.view();
         if let Some(places) = view.services.get_mut(&service) {
             let targets = &mut places.targets;
-            targets.reported(now, &id, load.running, load.queued);
+            targets.record_report(now, &id, load.running, load.queued);
             // Grants only matter while the engine is cold or names a limit.
             if !grants::update_cold_state(targets, now, &candidate, &load) {
                 load.grants_free = None;
--- a/crates/moleroad_gateway/src/quarantine.rs
+++ b/crates/moleroad_gateway/src/quarantine.rs
@@ -59,8 +59,8 @@
         let mut held = Vec::new();
         for report in reports {
             let request = report.request;
-            let outcome = self.suspects.take(now, report);
-            if outcome != RecordOutcome::Nothing && self.successes.has_succeeded(now, &request) {
+            let outcome = self.suspects.record(now, report);
+            if outcome != RecordOutcome::Unchanged && self.successes.has_succeeded(now, &request) {
                 self.suspects.excuse(&request);
             } else if outcome == RecordOutcome::Held {
                 self.unsubmitted_holds
@@ -109,7 +109,7 @@
 
 impl View {
     /// Returns the current incarnation of a target, as known here.
-    pub fn life_of(&self, target: &TargetId) -> TargetIncarnation {
+    pub fn incarnation_of(&self, target: &TargetId) -> TargetIncarnation {
         let observed = self.directory.target(target);
         TargetIncarnation {
             target: target.clone(),
@@ -120,12 +120,12 @@
     /// Returns the reports that changed here after `position`, and the position that they
     /// reach.
     pub fn target_ends_since(&self, now: Millis, position: u64) -> (Vec<TerminationReport>, u64) {
-        self.quarantine.suspects.since(now, position)
+        self.quarantine.suspects.changes_since(now, position)
     }
 
     /// Returns the reports after `known`, the position that another daemon has reached;
     /// none for a daemon that requests none.
-    pub fn ends_after(
+    pub fn target_ends_after(
         &self,
         now: Millis,
         known: Option<Cursor>,
@@ -225,7 +225,7 @@
             );
         }
         drop(view);
-        self.news.notify_waiters();
+        self.state_changed.notify_waiters();
     }
 
     /// Records that a request succeeded.
@@ -234,7 +234,7 @@
         if self.view().quarantine.note_success(now, request) {
             self.metrics.count("request_excused");
             log::info!(event = "request_excused", fingerprint:% = request; "");
-            self.news.notify_waiters();
+            self.state_changed.notify_waiters();
         }
     }
 
--- a/crates/moleroad_gateway/src/refusal.rs
+++ b/crates/moleroad_gateway/src/refusal.rs
@@ -1,8 +1,8 @@
 //! Refusing requests immediately when waiting cannot get them a slot.
 
-use crate::no_place::{NoPlace, NoPlaceCause, no_place, turned_away_retry_ms};
+use crate::no_place::{NoPlace, NoPlaceCause, no_place, rejected_retry_ms};
 use crate::node::Node;
-use crate::places::{Ask, ServicePlaces};
+use crate::places::{PlaceRequest, ServiceSlots};
 use crate::view::View;
 use moleroad_dispatch::prelude::*;
 
@@ -19,15 +19,19 @@
 /// with four entries with it). A request is also refused when every eligible target has
 /// asked for a backoff that outlasts the wait; the time when the first backoff ends is
 /// then the most useful answer to the caller.
-pub(crate) fn immediate_refusal(node: &Node, view: &View, request: &Ask) -> Option<NoPlace> {
+pub(crate) fn immediate_refusal(
+    node: &Node,
+    view: &View,
+    request: &PlaceRequest,
+) -> Option<NoPlace> {
     let now = node.clock.now();
     let places = view.services.get(&request.service)?;
-    let needs = request.needs(now, node.least_version(view, &request.service));
+    let needs = request.needs(now, node.min_version(view, &request.service));
     let held_for_ms = node.hold_left_ms(view, &request.fingerprint);
     let held_for_ms = held_for_ms.filter(|_| !request.is_trial);
     let cause = if held_for_ms.is_some() {
         NoPlaceCause::Quarantined
-    } else if request.residency.allowed().is_all() {
+    } else if request.residency.allowed().is_unrestricted() {
         cause_anywhere(node, places, needs, request)?
     } else {
         cause_in_regions(node, places, needs, request)?
@@ -38,9 +42,7 @@
             node.held_retry_ms(view, &request.fingerprint, held_for_ms.unwrap_or(0))
         }
         NoPlaceCause::DisjointRegions => refused.retry_after_ms + CONFIGURATION_RETRY_EXTRA_MS,
-        NoPlaceCause::Resting | NoPlaceCause::TurnedAway => {
-            turned_away_retry_ms(node, view, request)
-        }
+        NoPlaceCause::Resting | NoPlaceCause::TurnedAway => rejected_retry_ms(node, view, request),
         NoPlaceCause::Busy | NoPlaceCause::Evacuated | NoPlaceCause::EmptyRegions(_) => {
             refused.retry_after_ms
         }
@@ -58,19 +60,19 @@
 /// may accept it soon. A stream that has begun waits, since its caller cannot retry it.
 fn cause_anywhere(
     node: &Node,
-    places: &ServicePlaces,
+    places: &ServiceSlots,
     needs: Requirements<'_>,
-    request: &Ask,
+    request: &PlaceRequest,
 ) -> Option<NoPlaceCause> {
     if places.targets.all_evacuated(needs) {
         return Some(NoPlaceCause::Evacuated);
     }
-    let backoff_end = places.targets.rested_at(needs);
+    let backoff_end = places.targets.backoff_ends(needs);
     let was_rejected = request.was_sent && !request.may_have_run;
     if backoff_end.is_none() && !was_rejected {
         return None;
     }
-    let excluded = tally(places.targets.candidates(), needs);
+    let excluded = count_exclusions(places.targets.candidates(), needs);
     let weights_in_transfer = || places.expected_outage_ms(node.clock.now()).is_some();
     if backoff_outlasts_wait(excluded, backoff_end, request) {
         Some(NoPlaceCause::Resting)
@@ -86,19 +88,19 @@
 /// backoff ends in time, or if no target is known and weights are in transfer.
 fn cause_in_regions(
     node: &Node,
-    places: &ServicePlaces,
+    places: &ServiceSlots,
     needs: Requirements<'_>,
-    request: &Ask,
+    request: &PlaceRequest,
 ) -> Option<NoPlaceCause> {
     let now = node.clock.now();
     if places.targets.any_reachable(now, needs) {
         return None;
     }
-    let excluded = tally(places.targets.candidates(), needs);
-    let backoff_end = places.targets.rested_at(needs);
+    let excluded = count_exclusions(places.targets.candidates(), needs);
+    let backoff_end = places.targets.backoff_ends(needs);
     let none_is_known = places.targets.candidates().is_empty();
     let weights_in_transfer = none_is_known && places.expected_outage_ms(now).is_some();
-    if request.residency.allowed().is_none() {
+    if request.residency.allowed().is_empty() {
         Some(NoPlaceCause::DisjointRegions)
     } else if backoff_outlasts_wait(excluded, backoff_end, request) {
         Some(NoPlaceCause::Resting)
@@ -118,7 +120,7 @@
 fn backoff_outlasts_wait(
     excluded: ExclusionCounts,
     backoff_end: Option<BackoffEnds>,
-    request: &Ask,
+    request: &PlaceRequest,
 ) -> bool {
     let outlasts = |backoff_end: BackoffEnds| {
         let untried = backoff_end.untried;
@@ -130,6 +132,7 @@
 /// Returns whether the targets in the allowed regions are excluded only because they
 /// already had the request.
 fn all_tried_before(excluded: ExclusionCounts) -> bool {
-    let others = excluded.evacuated + excluded.old_weights + excluded.rests + excluded.open;
+    let others =
+        excluded.evacuated + excluded.old_weights + excluded.backing_off + excluded.eligible;
     excluded.tried > 0 && others == 0
 }
--- a/crates/moleroad_gateway/src/run.rs
+++ b/crates/moleroad_gateway/src/run.rs
@@ -6,7 +6,7 @@
 use crate::control_state::ControlState;
 use crate::front;
 use crate::gossip;
-use crate::halls::Source;
+use crate::halls::UpdateSource;
 use crate::interface::Interface;
 use crate::listening::listen;
 use crate::management_api;
@@ -72,7 +72,7 @@
         role:? = node.settings.role,
         hall = node.settings.hall.as_str(),
         peer:% = node.settings.peer_address(),
-        control_member = node.core.is_some();
+        control_member = node.control_member.is_some();
         ""
     );
     let peers = listen(node.settings.peer_address())?;
@@ -82,7 +82,7 @@
         RoleSetting::Agent => agent::start(&node),
         RoleSetting::Control => start_control(&node, outputs)?,
     }
-    tokio::spawn(gossip::greet(node.clone()));
+    tokio::spawn(gossip::run_gossip(node.clone()));
     tokio::spawn(reload(node.clone(), hangups, settings_path));
     tokio::select! {
         _ = stop.recv() => {}
@@ -138,7 +138,7 @@
     let is_founder = settings.found_group && seeds.contains(&own);
     let core = MemberSettings {
         folder: folder.clone(),
-        fresh: if is_founder {
+        initial_id: if is_founder {
             founding_member_id(own)
         } else {
             MemberId(rand::random())
@@ -185,7 +185,7 @@
                 tokio::spawn(send(node.clone(), to, message));
             }
             MemberOutput::State(state) => {
-                node.take_state(&state, Source::Log);
+                node.merge_state(&state, UpdateSource::Log);
                 push(&node, &state, &mut pushed);
             }
             MemberOutput::Tentative(state) => node.prepare_for(&state),
@@ -209,7 +209,7 @@
 }
 
 async fn send(node: Arc<Node>, to: MemberInfo, message: Message) {
-    let Some(from) = node.core.as_ref().map(|core| core.own.clone()) else {
+    let Some(from) = node.control_member.as_ref().map(|core| core.own.clone()) else {
         return;
     };
     let call = |client: crate::peer::PeerClient, context| async move {
@@ -305,8 +305,8 @@
     let started = node.clock.now();
     log::info!(event = "stop_begins"; "");
     node.leave();
-    if let Some(core) = &node.core {
-        core.tell(MemberInput::Retire);
+    if let Some(core) = &node.control_member {
+        core.send(MemberInput::Retire);
     }
     let grace_ms = node.settings.bounds.grace_ms;
     let reject_after = grace_ms - grace_ms / GRACE_FINAL_DIVISOR;
@@ -318,7 +318,7 @@
     loop {
         let elapsed = node.clock.now().since(started);
         if elapsed >= reject_after {
-            node.end();
+            node.stop_requests();
         }
         let idle = node.in_flight.load(Ordering::Relaxed) == 0;
         if (idle && elapsed >= exit_if_idle_after) || elapsed + EXIT_MARGIN_MS >= grace_ms {
--- a/crates/moleroad_gateway/src/suspension.rs
+++ b/crates/moleroad_gateway/src/suspension.rs
@@ -41,7 +41,7 @@
     /// Creates a detector for a process that starts at `now` with state from
     /// its disk. It missed updates while it was down, but its sockets hold no
     /// old calls.
-    pub fn with_old_state(now: Millis) -> Self {
+    pub fn with_stored_state(now: Millis) -> Self {
         Self {
             outdated_since: Some(now),
             ..Self::new(now)
@@ -50,7 +50,7 @@
 
     /// Records that the process is running. Returns whether it has just resumed
     /// from a suspension. Must be called many times per second.
-    pub fn look(&mut self, now: Millis) -> bool {
+    pub fn observe(&mut self, now: Millis) -> bool {
         let was_suspended = now.since(self.observed_at) >= SUSPENSION_THRESHOLD_MS;
         if was_suspended {
             self.resumed_at = Some(now);
@@ -62,7 +62,7 @@
 
     /// Records an answer with updates to a request that was sent at `asked_at`.
     /// Answers to requests sent before the suspension ended do not count.
-    pub fn heard(&mut self, asked_at: Millis) {
+    pub fn news_received(&mut self, asked_at: Millis) {
         if self.outdated_since.is_some_and(|since| asked_at >= since) {
             self.outdated_since = None;
         }
@@ -70,7 +70,7 @@
 
     /// Returns whether requests must wait for updates that the process may have
     /// missed.
-    pub fn waits_for_news(&self, now: Millis) -> bool {
+    pub fn must_wait_for_updates(&self, now: Millis) -> bool {
         let since = self.outdated_since;
         since.is_some_and(|since| now.since(since) < MAX_UPDATE_WAIT_MS)
     }
--- a/crates/moleroad_gateway/src/target_ends.rs
+++ b/crates/moleroad_gateway/src/target_ends.rs
@@ -131,7 +131,7 @@
 impl Node {
     /// Handles a request that broke off at a target by checking whether the target
     /// terminated.
-    pub fn request_broke(
+    pub fn handle_request_break(
         self: &Arc<Self>,
         life: TargetIncarnation,
         address: SocketAddr,
--- a/crates/moleroad_gateway/src/target_notice.rs
+++ b/crates/moleroad_gateway/src/target_notice.rs
@@ -33,7 +33,7 @@
     /// Reads the limit from the headers; of several limits the strictest counts.
     fn read(names: &HeaderNames, headers: &HeaderMap) -> Self {
         let values = headers.get_all(&names.limit);
-        let read = |value: &HeaderValue| value.to_str().ok().and_then(RequestRate::read);
+        let read = |value: &HeaderValue| value.to_str().ok().and_then(RequestRate::parse);
         match values.iter().filter_map(read).min() {
             Some(rate) => Self::Named(rate),
             None if values.iter().next().is_some() => Self::Unreadable,
@@ -107,7 +107,8 @@
         backoff_ms: u64,
     ) -> Option<Millis> {
         let address = from.address;
-        self.backoffs.ask(now, from, answered_unix_ms, backoff_ms);
+        self.backoffs
+            .record(now, from, answered_unix_ms, backoff_ms);
         let record = &self.directory.target_at(address)?.record;
         let until = self.backoffs.until(now, &Responder::of(record));
         if let Some(places) = self.services.get_mut(&record.service) {
@@ -154,7 +155,7 @@
             let mut view = self.view();
             let directory = &mut view.directory;
             let sent_at = head.sent_at;
-            let changed = directory.target_named_limit(now, target, *born_ms, sent_at, rate);
+            let changed = directory.update_target_limit(now, target, *born_ms, sent_at, rate);
             if changed {
                 view.announce(target);
             }
@@ -204,7 +205,7 @@
             let now = self.clock.now();
             let mut view = self.view();
             let directory = &mut view.directory;
-            let changed = directory.target_leaves(now, &from.target, from.born_ms);
+            let changed = directory.mark_target_draining(now, &from.target, from.born_ms);
             if changed {
                 view.announce(&from.target);
             }
@@ -220,7 +221,7 @@
             target:% = from.target;
             ""
         );
-        target_updates::applied(self);
+        target_updates::refresh_targets(self);
     }
 
     fn record_requested_backoff(&self, from: Responder, request: &str, backoff_ms: u64) {
--- a/crates/moleroad_gateway/src/target_updates.rs
+++ b/crates/moleroad_gateway/src/target_updates.rs
@@ -17,8 +17,9 @@
 impl View {
     /// Marks a target whose state changed here for announcement to other daemons.
     pub fn announce(&mut self, target: &TargetId) {
-        self.calls += 1;
-        self.to_tell.insert(target.clone(), self.calls);
+        self.announcement_count += 1;
+        self.pending_announcements
+            .insert(target.clone(), self.announcement_count);
     }
 }
 
@@ -48,7 +49,7 @@
             sequence = record.sequence;
             ""
         );
-        applied(node);
+        refresh_targets(node);
         // Other updates reach entries through their relays, but a target that leaves
         // must be known to all before it is acknowledged.
         if record.life != TargetLifecycle::Ready {
@@ -58,19 +59,19 @@
 }
 
 /// Handles the deregistration of a target.
-pub async fn gone(node: &Arc<Node>, id: &str) {
+pub async fn deregister(node: &Arc<Node>, id: &str) {
     let id = TargetId::new(id);
     let now = node.clock.now();
-    let changed = node.view().directory.target_gone(now, &id);
+    let changed = node.view().directory.mark_target_gone(now, &id);
     if changed {
         log::info!(event = "target_gone", target:% = id; "");
-        applied(node);
+        refresh_targets(node);
     }
     broadcast(node, TargetUpdate::Gone(id)).await;
 }
 
 /// Merges updates from another entry.
-pub fn take(node: &Node, updates: Vec<TargetUpdate>) {
+pub fn apply_updates(node: &Node, updates: Vec<TargetUpdate>) {
     let now = node.clock.now();
     {
         let mut view = node.view();
@@ -80,16 +81,16 @@
                     view.directory.merge_target(now, aged.record, aged.age_ms);
                 }
                 TargetUpdate::Gone(id) => {
-                    view.directory.target_gone(now, &id);
+                    view.directory.mark_target_gone(now, &id);
                 }
             }
         }
     }
-    applied(node);
+    refresh_targets(node);
 }
 
 /// Applies changes of the directory to candidates and waiting requests.
-pub fn applied(node: &Node) {
+pub fn refresh_targets(node: &Node) {
     let now = node.clock.now();
     node.view().refresh_candidates(now, &node.settings);
     node.serve_waiting();
@@ -124,7 +125,7 @@
 /// Merges updates from another entry and forwards them to other entries of this data
 /// hall.
 pub async fn pass_on(node: &Arc<Node>, updates: Vec<TargetUpdate>, to: Vec<SocketAddr>) {
-    take(node, updates.clone());
+    apply_updates(node, updates.clone());
     let calls = updates
         .iter()
         .map(|item| send_to_each(node, item, to.clone()));
@@ -152,7 +153,7 @@
     let recently_seen = |observed: &&Observed<DaemonRecord>| {
         observed.record.role == DaemonRole::Entry
             && observed.record.peer != own
-            && now.since(observed.at) < moleroad_directory::directory::DAEMON_SUSPECT_MS
+            && now.since(observed.last_seen) < moleroad_directory::directory::DAEMON_SUSPECT_MS
     };
     let entries = view.directory.daemons().filter(recently_seen);
     let addresses = entries.map(|observed| (observed.record.hall.clone(), observed.record.peer));
--- a/crates/moleroad_gateway/src/trial.rs
+++ b/crates/moleroad_gateway/src/trial.rs
@@ -2,7 +2,7 @@
 //! the release of its hold if it succeeds.
 
 use crate::control_state::ControlCommand;
-use crate::front::request::Accepted;
+use crate::front::request::AcceptedRequest;
 use crate::node::Node;
 use crate::operator;
 use crate::view::View;
@@ -31,7 +31,7 @@
 /// may have terminated for another reason, asks the control group, which grants a trial
 /// to a single copy across all entries. Without a leader no trial is granted, and the
 /// request is refused immediately.
-pub async fn is_granted(node: &Arc<Node>, request: &Accepted) -> bool {
+pub async fn obtain(node: &Arc<Node>, request: &AcceptedRequest) -> bool {
     let is_held = node
         .wait_for_hold_decision(&request.fingerprint, request.until)
         .await;
--- a/crates/moleroad_gateway/src/view.rs
+++ b/crates/moleroad_gateway/src/view.rs
@@ -7,15 +7,15 @@
 use crate::interface::Interface;
 use crate::named_versions::NamedVersions;
 use crate::peer::{Catalog, CatalogModel, CatalogOrigin, LeaderHint, VersionAge};
-use crate::places::ServicePlaces;
+use crate::places::ServiceSlots;
 use crate::quarantine::Quarantine;
 use crate::target_limits::TargetLimits;
 use moleroad_config::prelude::{
     ConfigVersion, Configuration, ConfigurationError, Residency, RouteTable, Service, check,
 };
 use moleroad_directory::prelude::*;
-use moleroad_dispatch::prelude::Rests;
-use moleroad_rollout::prelude::OldWeights;
+use moleroad_dispatch::prelude::TargetBackoffs;
+use moleroad_rollout::prelude::OldWeightsCutoff;
 use moleroad_types::prelude::Millis;
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -51,7 +51,7 @@
     /// Targets and daemons.
     pub directory: Directory,
     /// Slots at the targets of each service.
-    pub services: HashMap<String, ServicePlaces>,
+    pub services: HashMap<String, ServiceSlots>,
     /// The record of this daemon that is sent to others.
     pub own: DaemonRecord,
     /// Whether the state of this agent's engine was read since the start of this
@@ -63,15 +63,15 @@
     pub leader: Option<LeaderHint>,
     /// Targets to announce to other daemons, because they called this daemon or
     /// reported something in an answer, with the number of the announcement.
-    pub to_tell: HashMap<TargetId, u64>,
+    pub pending_announcements: HashMap<TargetId, u64>,
     /// Number of announcements so far.
-    pub calls: u64,
+    pub announcement_count: u64,
     /// Which targets are cold.
     pub cold: ColdTargets,
     /// Rate limits that targets named.
     pub limits: TargetLimits,
     /// Targets that asked this daemon to back off.
-    pub backoffs: Rests,
+    pub backoffs: TargetBackoffs,
     /// Requests that terminate targets.
     pub quarantine: Quarantine,
 }
@@ -93,18 +93,18 @@
             engine_was_polled: false,
             demand_per_s: 0.0,
             leader: None,
-            to_tell: HashMap::new(),
-            calls: 0,
+            pending_announcements: HashMap::new(),
+            announcement_count: 0,
             cold: ColdTargets::default(),
             limits: TargetLimits::default(),
-            backoffs: Rests::default(),
+            backoffs: TargetBackoffs::default(),
             quarantine: Quarantine::default(),
         }
     }
 
     /// Merges newer parts of `state`; returns true if anything changed. Times at which
     /// halls changed are merged separately, see [`View::merge_halls`].
-    pub fn take_state(
+    pub fn merge_state(
         &mut self,
         now: Millis,
         state: &ControlState,
@@ -185,7 +185,10 @@
     /// Returns the regions that may serve a request under the current configuration.
     pub fn residency(&self, accepted: &Residency) -> Residency {
         let table = self.table.as_ref();
-        table.map_or_else(|| accepted.clone(), |table| accepted.under(table))
+        table.map_or_else(
+            || accepted.clone(),
+            |table| accepted.for_configuration(table),
+        )
     }
 
     /// Records that `version` of `model` was named `age_ms` ago; returns true if that
@@ -232,7 +235,7 @@
 
     /// Returns the lowest version that requests for `service` may start on: the newest
     /// named version whose time limit has passed.
-    pub fn least_version(&self, now: Millis, service: &Service, version_ms: u64) -> Option<u64> {
+    pub fn min_version(&self, now: Millis, service: &Service, version_ms: u64) -> Option<u64> {
         let model = service.models.first()?;
         let named = self.named.get(&model.name)?;
         named.due(now, older_version_cutoff_ms(version_ms))
@@ -245,11 +248,11 @@
         service: &Service,
         version: u64,
         version_ms: u64,
-    ) -> Option<OldWeights> {
+    ) -> Option<OldWeightsCutoff> {
         let model = service.models.first()?;
         let named = self.named.get(&model.name)?;
         let newer_named_at = named.superseded_at(version)?;
-        Some(OldWeights::new(newer_named_at, version_ms))
+        Some(OldWeightsCutoff::new(newer_named_at, version_ms))
     }
 
     /// Returns the number of entries that share the targets.
@@ -295,9 +298,9 @@
                 layers: model.layers,
                 pieces: model.pieces,
                 piece_bytes: model.piece_bytes,
-                usual_request_ms: service
-                    .steps
-                    .map_or(0, |steps| (steps.usual_answer * steps.step_ms) as u64),
+                usual_request_ms: service.steps.map_or(0, |steps| {
+                    (steps.typical_output_tokens * steps.step_ms) as u64
+                }),
             });
         }
     }
--- a/crates/moleroad_gateway/tests/cold.rs
+++ b/crates/moleroad_gateway/tests/cold.rs
@@ -66,12 +66,12 @@
     prompt_tokens_per_s: 8_000.0,
     steps_per_pass: 4,
     tokens_per_pass: 2_048,
-    usual_prompt: 500.0,
-    usual_answer: 100.0,
+    typical_prompt_tokens: 500.0,
+    typical_output_tokens: 100.0,
 };
 
 const BOUND: ColdStart = ColdStart {
-    lasts_ms: 3_000,
+    cold_duration_ms: 3_000,
     requests_per_s: 15.0,
 };
 
@@ -236,7 +236,7 @@
         granted_until: Some(now + GRANT_TTL_MS),
         ..best.clone()
     };
-    assert!(targets.may_begin(now, &granted) && !targets.may_begin(now, &best));
+    assert!(targets.may_still_send(now, &granted) && !targets.may_still_send(now, &best));
 }
 
 #[test]
@@ -316,10 +316,10 @@
 #[test]
 fn an_agent_that_stood_still_begins_with_nothing() {
     let engine = ColdEngine::default();
-    engine.note_alive(Millis(1_000));
+    engine.record_alive(Millis(1_000));
     engine.grant(Millis(1_000), ask(0));
     for at in [1_500, 2_000] {
-        engine.note_alive(Millis(at));
+        engine.record_alive(Millis(at));
     }
     assert_eq!(engine.state(Millis(2_000)).grants, Some(3));
     // The agent is suspended for two seconds, and the request of an entry is the first
@@ -332,7 +332,7 @@
 fn grants_come_up_from_the_begin_of_the_agent_and_not_from_the_first_question() {
     let engine = ColdEngine::default();
     for at in [10_000, 10_400] {
-        engine.note_alive(Millis(at));
+        engine.record_alive(Millis(at));
     }
     let given = |at| engine.grant(Millis(at), ask(0)).is_given;
     assert_eq!([given(10_500), given(10_500), given(10_500)], [true; 3]);
--- a/crates/moleroad_gateway/tests/decided.rs
+++ b/crates/moleroad_gateway/tests/decided.rs
@@ -7,7 +7,7 @@
 use moleroad_config::prelude::ConfigVersion;
 use moleroad_gateway::control_state::{ConfigDocument, ControlCommand, ControlState};
 use moleroad_gateway::gossip::restore_decided;
-use moleroad_gateway::halls::Source;
+use moleroad_gateway::halls::UpdateSource;
 use moleroad_gateway::node::Node;
 use moleroad_gateway::operator::{commit, read};
 use std::sync::Arc;
@@ -56,7 +56,7 @@
     let leader = leader("decided-late");
     let (first, late) = (follower_of(&leader, "a"), follower_of(&leader, "b"));
     propose_until_acknowledged(&first, replace(5, "decided")).await;
-    late.take_state(&state_with(4, "older"), Source::Push);
+    late.merge_state(&state_with(4, "older"), UpdateSource::Push);
     propose_until_acknowledged(&late, replace(5, "other bytes")).await;
     assert_eq!(current_document(&late), (5, "decided".into()));
     propose_until_acknowledged(&late, replace(3, "late and old")).await;
@@ -105,7 +105,7 @@
     let leader = leader("decided-twins");
     let (correct, wrong) = (follower_of(&leader, "a"), follower_of(&leader, "b"));
     propose_until_acknowledged(&correct, replace(5, "decided")).await;
-    wrong.take_state(&state_with(5, "other bytes"), Source::Push);
+    wrong.merge_state(&state_with(5, "other bytes"), UpdateSource::Push);
     let advertised = |node: &Node| {
         let view = node.view();
         (view.state.config_version(), view.config_digest)
--- a/crates/moleroad_gateway/tests/entries.rs
+++ b/crates/moleroad_gateway/tests/entries.rs
@@ -10,7 +10,7 @@
 use moleroad_gateway::front::answer::AnswerBody;
 use moleroad_gateway::front::attempt::Attempts;
 use moleroad_gateway::front::sends::Sends;
-use moleroad_gateway::gossip::greet;
+use moleroad_gateway::gossip::run_gossip;
 use moleroad_gateway::no_place::NoPlaceCause;
 use moleroad_gateway::node::Node;
 use std::net::SocketAddr;
@@ -55,7 +55,7 @@
     });
     yield_to_other_tasks().await;
     assert_eq!(node.view().services["plain"].waiting(), 1);
-    drop(node.standstill());
+    drop(node.suspension_detector());
     // The slot is granted to the waiting request, and the process is suspended
     // before that request's task runs.
     drop(first);
@@ -71,15 +71,18 @@
 #[tokio::test]
 async fn an_entry_with_old_state_begins_by_waiting_for_news_for_a_bounded_time() {
     let node = restarted_entry("begins").await;
-    let lacks_updates = |node: &Node| node.standstill().waits_for_news(node.began_at);
+    let lacks_updates = |node: &Node| {
+        node.suspension_detector()
+            .must_wait_for_updates(node.started_at)
+    };
     assert!(lacks_updates(&node));
-    assert!(!node.standstill().may_read_backlog(node.began_at));
+    assert!(!node.suspension_detector().may_read_backlog(node.started_at));
     // No daemon answers.
     node.catch_up_after_suspension().await;
-    assert!(node.clock.now().since(node.began_at) >= 1_000);
+    assert!(node.clock.now().since(node.started_at) >= 1_000);
 
     let node = restarted_entry("begins-and-hears").await;
-    node.standstill().heard(node.clock.now());
+    node.suspension_detector().news_received(node.clock.now());
     assert!(!lacks_updates(&node));
 
     // Entries without stored state have nothing that could be outdated.
@@ -95,11 +98,14 @@
     node.replace_seeds(vec![other.settings.peer_address()]);
     // Another fetch is in flight, so the answer does not start one.
     let fetching = node.begin_pull().expect("nothing is fetched yet");
-    tokio::spawn(greet(node.clone()));
+    tokio::spawn(run_gossip(node.clone()));
     let has_answer = || node.view().is_evacuated("hall-a");
     wait_until("an answer", has_answer).await;
     yield_to_other_tasks().await;
-    let lacks_updates = || node.standstill().waits_for_news(node.began_at);
+    let lacks_updates = || {
+        node.suspension_detector()
+            .must_wait_for_updates(node.started_at)
+    };
     assert!(lacks_updates());
     drop(fetching);
     wait_until("updates", || !lacks_updates()).await;
--- a/crates/moleroad_gateway/tests/evacuations.rs
+++ b/crates/moleroad_gateway/tests/evacuations.rs
@@ -53,12 +53,12 @@
         (order("a", false, 7), Changed, state(false, 8)),
     ];
     for (order, outcome, state) in steps {
-        let verdict = halls.carry_out(&order);
+        let verdict = halls.apply(&order);
         assert_eq!(verdict, HallOrderResult { outcome, state }, "{order:?}");
-        assert_eq!(halls.of("a"), state);
+        assert_eq!(halls.state_of("a"), state);
         assert_eq!(outcome.is_satisfied(), state.evacuated == order.evacuated);
     }
-    assert_eq!(halls.of("b"), HallState::default());
+    assert_eq!(halls.state_of("b"), HallState::default());
 }
 
 #[test]
@@ -80,10 +80,10 @@
         let mut history = vec![log.clone()];
         for _ in 0..random.random_range(1..14) {
             let hall = halls[random.random_range(0..halls.len())];
-            let before = log.of(hall);
+            let before = log.state_of(hall);
             let stale_by = random.random_range(0..3);
             let based_on = before.revision.0.saturating_sub(stale_by);
-            let verdict = log.carry_out(&order(hall, random.random(), based_on));
+            let verdict = log.apply(&order(hall, random.random(), based_on));
             let step = u64::from(verdict.outcome == HallOrderOutcome::Changed);
             assert_eq!(verdict.state.revision.0, before.revision.0 + step);
             history.push(log.clone());
@@ -96,7 +96,7 @@
                 let changed = daemon.merge(news);
                 assert_eq!(changed, *daemon != before);
                 for (hall, held) in before.iter() {
-                    let after = daemon.of(hall);
+                    let after = daemon.state_of(hall);
                     assert!(after.revision >= held.revision, "seed {seed}");
                     assert!(after.revision > held.revision || after == held);
                 }
@@ -139,7 +139,7 @@
     let bytes = rmp_serde::to_vec(&read).unwrap();
     let again: ControlState = rmp_serde::from_slice(&bytes).unwrap();
     assert_eq!(again, read);
-    assert_eq!(again.evacuations.of("a"), state(true, 1));
+    assert_eq!(again.evacuations.state_of("a"), state(true, 1));
 }
 
 #[test]
@@ -210,44 +210,50 @@
 fn a_process_that_stood_still_waits_for_news_that_it_asked_for_afterwards() {
     let mut process = SuspensionDetector::new(Millis(0));
     for now in (50..2_000).step_by(50) {
-        assert!(!process.look(Millis(now)));
+        assert!(!process.observe(Millis(now)));
     }
     // Late by less than the time after which operators give up a call.
-    assert!(!process.look(Millis(2_900)));
-    assert!(!process.waits_for_news(Millis(2_900)) && !process.may_read_backlog(Millis(2_900)));
+    assert!(!process.observe(Millis(2_900)));
+    assert!(
+        !process.must_wait_for_updates(Millis(2_900)) && !process.may_read_backlog(Millis(2_900))
+    );
 
-    assert!(process.look(Millis(9_000)));
-    assert!(process.waits_for_news(Millis(9_000)) && process.may_read_backlog(Millis(9_000)));
+    assert!(process.observe(Millis(9_000)));
+    assert!(
+        process.must_wait_for_updates(Millis(9_000)) && process.may_read_backlog(Millis(9_000))
+    );
     // An answer that was waiting in its sockets contains nothing that happened later.
-    process.heard(Millis(2_900));
-    assert!(process.waits_for_news(Millis(9_010)));
-    process.heard(Millis(9_005));
-    assert!(!process.waits_for_news(Millis(9_020)));
+    process.news_received(Millis(2_900));
+    assert!(process.must_wait_for_updates(Millis(9_010)));
+    process.news_received(Millis(9_005));
+    assert!(!process.must_wait_for_updates(Millis(9_020)));
     assert!(process.may_read_backlog(Millis(9_299)));
     assert!(!process.may_read_backlog(Millis(9_300)));
 
     // When it reaches nobody, it continues with its known state.
-    assert!(process.look(Millis(20_000)));
-    assert!(process.waits_for_news(Millis(20_999)));
-    assert!(!process.waits_for_news(Millis(21_000)));
+    assert!(process.observe(Millis(20_000)));
+    assert!(process.must_wait_for_updates(Millis(20_999)));
+    assert!(!process.must_wait_for_updates(Millis(21_000)));
 }
 
 #[test]
 fn a_process_that_begins_with_what_it_kept_waits_for_news_but_not_for_old_calls() {
-    let mut process = SuspensionDetector::with_old_state(Millis(5_000));
-    assert!(!process.look(Millis(5_010)));
-    assert!(process.waits_for_news(Millis(5_010)) && !process.may_read_backlog(Millis(5_010)));
-    process.heard(Millis(5_020));
-    assert!(!process.waits_for_news(Millis(5_030)));
+    let mut process = SuspensionDetector::with_stored_state(Millis(5_000));
+    assert!(!process.observe(Millis(5_010)));
+    assert!(
+        process.must_wait_for_updates(Millis(5_010)) && !process.may_read_backlog(Millis(5_010))
+    );
+    process.news_received(Millis(5_020));
+    assert!(!process.must_wait_for_updates(Millis(5_030)));
 
     // A process that reaches nobody continues with its known state.
-    let mut alone = SuspensionDetector::with_old_state(Millis(5_000));
+    let mut alone = SuspensionDetector::with_stored_state(Millis(5_000));
     for now in (5_000..6_000).step_by(50) {
-        assert!(!alone.look(Millis(now)));
-        assert!(alone.waits_for_news(Millis(now)));
+        assert!(!alone.observe(Millis(now)));
+        assert!(alone.must_wait_for_updates(Millis(now)));
     }
-    assert!(!alone.waits_for_news(Millis(6_000)));
+    assert!(!alone.must_wait_for_updates(Millis(6_000)));
 
     let fresh = SuspensionDetector::new(Millis(5_000));
-    assert!(!fresh.waits_for_news(Millis(5_000)));
+    assert!(!fresh.must_wait_for_updates(Millis(5_000)));
 }
--- a/crates/moleroad_gateway/tests/fan_out.rs
+++ b/crates/moleroad_gateway/tests/fan_out.rs
@@ -57,7 +57,7 @@
 #[tokio::test]
 async fn every_entry_knows_that_a_target_is_gone_when_it_is_acknowledged() {
     let (caller, others) = entries(&[]);
-    target_updates::gone(&caller, "i-a").await;
+    target_updates::deregister(&caller, "i-a").await;
     assert!(is_gone(&caller) && others.iter().all(|other| is_gone(other)));
 }
 
@@ -66,6 +66,6 @@
     // Includes the first entry of every branch.
     let silent: Vec<usize> = (0..ENTRIES).filter(|number| number % 7 < 3).collect();
     let (caller, others) = entries(&silent);
-    target_updates::gone(&caller, "i-a").await;
+    target_updates::deregister(&caller, "i-a").await;
     assert_eq!(others.iter().filter(|other| !is_gone(other)).count(), 0);
 }
--- a/crates/moleroad_gateway/tests/hall_orders.rs
+++ b/crates/moleroad_gateway/tests/hall_orders.rs
@@ -38,7 +38,7 @@
 fn verdict(commands: &[Vec<u8>], index: LogIndex, order: &HallOrder) -> HallOrderResult {
     let before = (index.0 - FOUNDED.0) as usize - 1;
     assert_eq!(commands[before], bytes(order));
-    replay(&commands[..before]).evacuations.carry_out(order)
+    replay(&commands[..before]).evacuations.apply(order)
 }
 
 /// The control group and the daemons that operators call, each with its own view.
@@ -55,7 +55,7 @@
 impl Simulation {
     fn new(seed: u64) -> Self {
         let mut group = Group::new(seed, 3, 9);
-        group.wanted_voters = 3;
+        group.desired_voters = 3;
         Self {
             group,
             views: Default::default(),
@@ -69,7 +69,7 @@
         HallOrder {
             hall: HALL.into(),
             evacuated,
-            based_on: self.views[daemon].of(HALL).revision,
+            based_on: self.views[daemon].state_of(HALL).revision,
         }
     }
 
@@ -126,7 +126,7 @@
             }
             1 => {
                 let other = ids[group.random.random_range(0..ids.len())];
-                group.cut.insert((id, other));
+                group.blocked_links.insert((id, other));
             }
             2 => group.loss_percent = group.random.random_range(0..25),
             3 => group.members.get_mut(&id).unwrap().frozen ^= true,
@@ -140,7 +140,7 @@
             let daemon = self.group.random.random_range(0..DAEMONS);
             let order = self.order(daemon, evacuated);
             if attempt > 4 {
-                self.group.mend();
+                self.group.heal();
             } else {
                 self.inject_fault();
             }
@@ -175,7 +175,7 @@
 
     /// Replaces a member by one without a disk, right after an acknowledgement.
     fn replace_disk(&mut self) {
-        self.group.mend();
+        self.group.heal();
         let ids: Vec<MemberId> = self.group.members.keys().copied().collect();
         let id = ids[self.group.random.random_range(0..ids.len())];
         let instance = self.group.members[&id].info.instance.to_string();
@@ -202,12 +202,12 @@
 
     /// Returns the state of the hall at the end, which all members share.
     fn final_state(&mut self) -> HallState {
-        self.group.mend();
-        self.group.accept(b"the last one");
+        self.group.heal();
+        self.group.propose_until_accepted(b"the last one");
         self.group.check_nothing_lost();
         let leader = self.group.await_leader();
         let state = &self.group.members[&leader].running.as_ref().unwrap().state;
-        replay(state).evacuations.of(HALL)
+        replay(state).evacuations.state_of(HALL)
     }
 }
 
@@ -242,7 +242,7 @@
             }
         }
         // Orders delayed in frozen daemons finally reach the leader.
-        simulation.group.mend();
+        simulation.group.heal();
         for order in std::mem::take(&mut simulation.delayed) {
             simulation.group.await_leader();
             simulation.propose(&order);
@@ -279,7 +279,7 @@
         assert!(state.revision.0 >= changes);
         assert_eq!(state.evacuated, state.revision.0 % 2 == 1);
         for view in &simulation.views {
-            assert!(view.of(HALL).revision <= state.revision);
+            assert!(view.state_of(HALL).revision <= state.revision);
         }
     });
 }
--- a/crates/moleroad_gateway/tests/halls.rs
+++ b/crates/moleroad_gateway/tests/halls.rs
@@ -118,16 +118,16 @@
     let targets = |view: &View| {
         view.services["plain"]
             .targets
-            .places(&AllowedRegions::all())
+            .total_slots(&AllowedRegions::all())
     };
     assert_eq!(targets(&view), 8);
     apply_updates(&mut view, 2_000, &updates("hall-a", 1, true, 0));
     let places = &view.services["plain"];
-    assert_eq!(places.targets.places(&AllowedRegions::all()), 4);
+    assert_eq!(places.targets.total_slots(&AllowedRegions::all()), 4);
     assert_eq!(
         places
             .targets
-            .free_places(Millis(2_000), &AllowedRegions::all()),
+            .free_slots(Millis(2_000), &AllowedRegions::all()),
         4.0
     );
     assert!(places.targets.any_eligible(needs) && !places.targets.all_evacuated(needs));
@@ -142,8 +142,8 @@
     let best = places.targets.best_of(Millis(2_000), needs, &looked_at);
     assert_eq!(best.unwrap().id.as_str(), "i-bb");
     // A slot that was granted there before is no longer eligible.
-    assert!(!places.targets.is_open(&TargetId::new("i-a"), needs));
-    assert!(places.targets.is_open(&TargetId::new("i-bb"), needs));
+    assert!(!places.targets.is_eligible(&TargetId::new("i-a"), needs));
+    assert!(places.targets.is_eligible(&TargetId::new("i-bb"), needs));
     assert_eq!(places.targets.count_not_evacuated(), 1);
 
     apply_updates(&mut view, 3_000, &updates("hall-b", 1, true, 0));
@@ -151,7 +151,7 @@
     assert!(places.targets.all_evacuated(needs) && !places.targets.any_eligible(needs));
     assert_eq!(
         places.targets.choose(Millis(3_000), needs, 1),
-        Choice::Nobody
+        Choice::NoTarget
     );
     apply_updates(&mut view, 4_000, &updates("hall-a", 2, false, 0));
     assert_eq!(targets(&view), 4);
--- a/crates/moleroad_gateway/tests/parts.rs
+++ b/crates/moleroad_gateway/tests/parts.rs
@@ -250,8 +250,8 @@
     let sound = "instance: a\nrole: agent\nip: 127.0.0.1\nhall: h\nregion: r\npeer_ports: [1,2]\nengine: 127.0.0.1:1\n";
     let with = |text: &str| Settings::parse(&format!("{sound}experiments: {text}\n"));
     let settings = with("{off: [waves]}").unwrap();
-    assert!(!settings.experiments.has(Mechanism::Waves));
-    assert!(settings.experiments.has(Mechanism::Fallback));
+    assert!(!settings.experiments.is_enabled(Mechanism::Waves));
+    assert!(settings.experiments.is_enabled(Mechanism::Fallback));
     for wrong in ["{off: [wave]}", "{of: [waves]}"] {
         let error = with(wrong).unwrap_err().to_string();
         assert!(error.starts_with("MR-6002"), "{error}");
@@ -318,8 +318,8 @@
         BodyTimeout,
         TooLarge,
         NoPlace,
-        Leaving,
-        TurnedAway,
+        Stopping,
+        RejectedByTargets,
         DeadlinePassedNotRun,
         Broken,
         TimedOut,
--- a/crates/moleroad_gateway/tests/quarantine.rs
+++ b/crates/moleroad_gateway/tests/quarantine.rs
@@ -151,7 +151,7 @@
 /// another held one at each termination.
 async fn entry_with_doubtful_hold(name: &str) -> Arc<Node> {
     let node = entry_with_disk(&folder(name));
-    let core = node.core.clone().expect("a member with a disk");
+    let core = node.control_member.clone().expect("a member with a disk");
     while core.read().await.is_err() {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
@@ -179,10 +179,10 @@
     let node = entry_with_doubtful_hold("one-copy-is-tried").await;
     commit_hold(&node).await;
     let mut first = request(&node, 5_000);
-    first.is_trial = trial::is_granted(&node, &first).await;
+    first.is_trial = trial::obtain(&node, &first).await;
     assert!(first.is_trial);
     for _ in 0..3 {
-        assert!(!trial::is_granted(&node, &request(&node, 5_000)).await);
+        assert!(!trial::obtain(&node, &request(&node, 5_000)).await);
     }
     let refused = acquire(&node, &ask(&node, None)).await.err();
     let refused = refused.expect("no free slot");
@@ -198,16 +198,16 @@
 #[tokio::test]
 async fn a_request_in_no_doubt_or_without_a_leader_or_time_is_not_tried() {
     let node = entry_with_doubtful_hold("no-trial").await;
-    assert!(!trial::is_granted(&node, &request(&node, 100)).await);
+    assert!(!trial::obtain(&node, &request(&node, 100)).await);
     node.view().leader = None;
-    assert!(!trial::is_granted(&node, &request(&node, 5_000)).await);
+    assert!(!trial::obtain(&node, &request(&node, 5_000)).await);
     let certain = entry();
     certain.view().leader = Some(LeaderHint {
         term: 1,
         address: certain.settings.peer_address(),
     });
     report_terminations(&certain, TERMINATIONS_TO_HOLD);
-    assert!(!trial::is_granted(&certain, &request(&certain, 5_000)).await);
+    assert!(!trial::obtain(&certain, &request(&certain, 5_000)).await);
 }
 
 #[tokio::test]
--- a/crates/moleroad_gateway/tests/support/mod.rs
+++ b/crates/moleroad_gateway/tests/support/mod.rs
@@ -16,13 +16,13 @@
 use moleroad_gateway::control_member::{ControlMember, MemberSettings};
 use moleroad_gateway::control_state::{ConfigDocument, ControlState};
 use moleroad_gateway::evacuations::{HallRevision, HallState};
-use moleroad_gateway::front::request::Accepted;
-use moleroad_gateway::halls::{HallUpdate, HallUpdates, Source};
+use moleroad_gateway::front::request::AcceptedRequest;
+use moleroad_gateway::halls::{HallUpdate, HallUpdates, UpdateSource};
 use moleroad_gateway::listening::listen;
 use moleroad_gateway::node::Node;
 use moleroad_gateway::peer::LeaderHint;
 use moleroad_gateway::peer_server;
-use moleroad_gateway::places::Ask;
+use moleroad_gateway::places::PlaceRequest;
 use moleroad_gateway::settings::Settings;
 use moleroad_quarantine::prelude::RequestFingerprint;
 use moleroad_types::prelude::*;
@@ -77,7 +77,7 @@
     let own = MemberInfo::new(MemberId(1), "e", address);
     let core = MemberSettings {
         folder: folder.to_path_buf(),
-        fresh: own.id,
+        initial_id: own.id,
         instance: "e".into(),
         address,
         founding: Some(moleroad_consensus::prelude::Configuration::of_voters([own])),
@@ -97,7 +97,7 @@
     let own = MemberInfo::new(MemberId(1), name, address);
     let core = MemberSettings {
         folder: folder(name),
-        fresh: own.id,
+        initial_id: own.id,
         instance: name.into(),
         address,
         founding: Some(moleroad_consensus::prelude::Configuration::of_voters([own])),
@@ -125,7 +125,7 @@
 pub async fn restarted_entry(name: &str) -> Arc<Node> {
     let folder = folder(name);
     let earlier = entry_with_disk(&folder);
-    let core = earlier.core.clone().unwrap();
+    let core = earlier.control_member.clone().unwrap();
     while core.read().await.is_err() {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
@@ -148,7 +148,7 @@
         configuration: Some(ConfigDocument::new(ConfigVersion(1), b"")),
         ..ControlState::default()
     };
-    assert!(node.take_state(&state, Source::Push));
+    assert!(node.merge_state(&state, UpdateSource::Push));
     tokio::spawn(peer_server::serve(node.clone(), listener));
     node
 }
@@ -198,10 +198,10 @@
 
 /// Returns the place requirements of a request that waits for up to 10 s, sent with
 /// this API key.
-pub fn ask(node: &Node, key: Option<&str>) -> Ask {
+pub fn ask(node: &Node, key: Option<&str>) -> PlaceRequest {
     let table = node.view().table.clone().unwrap();
     let until = node.clock.now() + 10_000;
-    Ask {
+    PlaceRequest {
         service: SERVICE.into(),
         tried: Vec::new(),
         was_sent: false,
@@ -224,19 +224,19 @@
         evacuated: true,
     };
     let news = HallUpdates::from([(hall.to_string(), HallUpdate { state, age_ms: 0 })]);
-    node.take_halls(&news, Source::Push);
+    node.apply_hall_updates(&news, UpdateSource::Push);
 }
 
 /// Returns the number of this entry's requests that hold a place at a target.
 pub fn in_flight(node: &Node, id: &str) -> u32 {
     let view = node.view();
     let targets = &view.services[SERVICE].targets;
-    targets.load(&TargetId::new(id)).own()
+    targets.load(&TargetId::new(id)).own_in_flight()
 }
 
 /// Returns a request that must be answered within `ms` milliseconds and must not be
 /// retried once it may have run.
-pub fn request(node: &Node, ms: u64) -> Accepted {
+pub fn request(node: &Node, ms: u64) -> AcceptedRequest {
     let ask = ask(node, None);
     let arrived = node.clock.now();
     let route = Route {
@@ -255,7 +255,7 @@
         public: true,
         allowed_regions: AllowedRegions::all(),
     };
-    Accepted {
+    AcceptedRequest {
         method: Method::POST,
         path_and_query: "/".into(),
         headers: HeaderMap::new(),
--- a/crates/moleroad_gateway/tests/target_notices.rs
+++ b/crates/moleroad_gateway/tests/target_notices.rs
@@ -7,7 +7,7 @@
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, RETRY_AFTER};
 use moleroad_directory::prelude::{RequestRate, TargetId};
 use moleroad_dispatch::prelude::Responder;
-use moleroad_gateway::acquire::{Place, acquire};
+use moleroad_gateway::acquire::{ReservedSlot, acquire};
 use moleroad_gateway::front::attempt::Attempts;
 use moleroad_gateway::no_place::{NoPlace, NoPlaceCause};
 use moleroad_gateway::node::Node;
@@ -51,7 +51,9 @@
 }
 
 /// Sends one request to the only target, and queues another that waits for its slot.
-async fn send_one_and_queue_one(node: &Arc<Node>) -> (Place, JoinHandle<Result<(), NoPlace>>) {
+async fn send_one_and_queue_one(
+    node: &Arc<Node>,
+) -> (ReservedSlot, JoinHandle<Result<(), NoPlace>>) {
     let request = ask(node, None);
     let first = acquire(node, &request).await.expect("a free slot");
     let waiting = tokio::spawn({
--- a/crates/moleroad_membership/src/caller_update.rs
+++ b/crates/moleroad_membership/src/caller_update.rs
@@ -50,7 +50,7 @@
 
     /// Merges the update into `directory`. A record of the daemon `own` itself is
     /// ignored.
-    pub fn take(
+    pub fn apply(
         self,
         directory: &mut Directory,
         now: Millis,
--- a/crates/moleroad_membership/src/contacts.rs
+++ b/crates/moleroad_membership/src/contacts.rs
@@ -79,15 +79,15 @@
     /// Peer addresses for bootstrapping.
     pub seeds: &'a [SocketAddr],
     /// Peers in backoff because they did not answer recently.
-    pub resting: &'a HashSet<SocketAddr>,
+    pub backed_off: &'a HashSet<SocketAddr>,
     /// Whether this daemon has requests in flight.
     pub is_busy: bool,
     /// Whether no configuration is in force yet.
     pub lacks_configuration: bool,
     /// Whether this daemon started recently.
-    pub is_young: bool,
+    pub is_starting_up: bool,
     /// Whether no peer has answered for [`ISOLATION_TIMEOUT_MS`].
-    pub is_lost: bool,
+    pub is_isolated: bool,
 }
 
 impl ContactPlanner<'_> {
@@ -98,7 +98,7 @@
             DaemonRole::Agent => self.agent_contacts(),
             DaemonRole::Control => self.control_contacts(),
         };
-        if self.is_lost {
+        if self.is_isolated {
             let seeds = self.seeds.iter().copied();
             contacts.extend(seeds.map(|seed| Contact {
                 relays_suffice: true,
@@ -187,7 +187,7 @@
         }
         // A daemon that is isolated, as every daemon is at its start, considers itself a
         // relay because it knows no others.
-        if !self.is_lost {
+        if !self.is_isolated {
             contacts.extend(self.startup_seed());
             contacts.extend(self.probe());
         }
@@ -215,12 +215,12 @@
                 self.own.instance.as_str(),
                 &InstanceId::new(seed.to_string()),
             );
-            (self.resting.contains(*seed), rank)
+            (self.backed_off.contains(*seed), rank)
         };
         let seed = self
             .seeds
             .iter()
-            .filter(|_| self.is_young)
+            .filter(|_| self.is_starting_up)
             .min_by_key(rank)?;
         Some(self.pull_contact(*seed, Scope::All, ENTRY_INTERVAL_MS))
     }
@@ -268,7 +268,7 @@
     }
 
     fn is_suspect(&self, observed: &Observed<DaemonRecord>) -> bool {
-        self.now.since(observed.at) >= moleroad_directory::directory::DAEMON_SUSPECT_MS
+        self.now.since(observed.last_seen) >= moleroad_directory::directory::DAEMON_SUSPECT_MS
     }
 
     fn agent_contacts(&self) -> Vec<Contact> {
@@ -327,7 +327,7 @@
 
     /// Creates a contact whose directory changes are requested.
     fn pull_contact(&self, address: SocketAddr, scope: Scope, interval_ms: u64) -> Contact {
-        let interval_ms = if self.lacks_configuration || self.is_young {
+        let interval_ms = if self.lacks_configuration || self.is_starting_up {
             interval_ms.min(STARTUP_INTERVAL_MS)
         } else {
             interval_ms
@@ -381,7 +381,7 @@
     }
 
     fn is_backed_off(&self, record: &DaemonRecord) -> bool {
-        self.resting.contains(&record.peer)
+        self.backed_off.contains(&record.peer)
     }
 
     fn is_self(&self, record: &DaemonRecord) -> bool {
--- a/crates/moleroad_membership/src/gossip_state.rs
+++ b/crates/moleroad_membership/src/gossip_state.rs
@@ -16,12 +16,12 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PeerState {
     /// Time of the last exchange, in milliseconds.
-    pub at: u64,
+    pub last_sent_ms: u64,
     /// Position of this daemon's directory up to which the peer knows this daemon's
     /// record; 0 if it may not know the record.
     pub position: u64,
     /// Sequence number of the last target call that was forwarded to the peer.
-    pub calls: u64,
+    pub target_call_seq: u64,
     /// Position up to which the peer's directory is known.
     pub cursor: Cursor,
     /// Scope of the requests that led to `cursor`.
@@ -35,14 +35,14 @@
     /// Position up to which the peer's list of ended targets is known.
     pub ends_cursor: Cursor,
     /// Whether the peer answered the last exchange.
-    pub answers: bool,
+    pub is_responsive: bool,
     /// End of the backoff after a failed exchange, in milliseconds.
     pub backoff_until: u64,
 }
 
 impl PeerState {
     /// Returns the delta request for a contact, and records the time if it includes ages.
-    pub fn question(&mut self, now: Millis, contact: &Contact) -> DeltaRequest {
+    pub fn delta_request(&mut self, now: Millis, contact: &Contact) -> DeltaRequest {
         let lives =
             contact.scope != Scope::Nothing && now.0 >= self.ages_requested_at + AGES_INTERVAL_MS;
         if lives {
@@ -66,7 +66,7 @@
 
 /// The parts of a contact's answer that update its state.
 #[derive(Clone, Copy, Debug)]
-pub struct Answered {
+pub struct GossipReply {
     /// Whether the peer does not know this daemon's record.
     pub unknown_caller: bool,
     /// Position up to which the peer's directory is now known.
@@ -88,18 +88,18 @@
 
 impl GossipState {
     /// Returns the state of the peer at `address`.
-    pub fn told(&self, address: SocketAddr) -> PeerState {
+    pub fn peer_state(&self, address: SocketAddr) -> PeerState {
         self.peers.get(&address).copied().unwrap_or_default()
     }
 
     /// Returns the time since any peer last answered a delta request, in milliseconds;
     /// `u64::MAX` if none has.
-    pub fn silent_ms(&self, now: Millis) -> u64 {
+    pub fn ms_since_reply(&self, now: Millis) -> u64 {
         self.last_reply_at.map_or(u64::MAX, |at| now.since(at))
     }
 
     /// Returns the peers in backoff.
-    pub fn resting(&self, now: Millis) -> HashSet<SocketAddr> {
+    pub fn backed_off(&self, now: Millis) -> HashSet<SocketAddr> {
         let resting = self
             .peers
             .iter()
@@ -117,7 +117,7 @@
         ends_position: Option<u64>,
     ) -> Vec<Contact> {
         let is_due = |contact: &Contact| {
-            let peer = self.told(contact.address);
+            let peer = self.peer_state(contact.address);
             let has_changes = contact.changed_position > peer.position;
             let update_interval = contact.min_interval_ms.filter(|_| has_changes);
             let is_backed_off = now.0 < peer.backoff_until;
@@ -129,23 +129,29 @@
                 .chain(ends_interval)
                 .chain(continuation);
             let interval = intervals.chain(contact.interval_ms).min();
-            let is_time = interval.is_some_and(|interval| now.0 >= peer.at + interval);
+            let is_time = interval.is_some_and(|interval| now.0 >= peer.last_sent_ms + interval);
             is_time && !self.in_flight.contains(&contact.address)
         };
         contacts.into_iter().filter(is_due).collect()
     }
 
     /// Records the start of an exchange.
-    pub fn begin(&mut self, now: Millis, address: SocketAddr) {
+    pub fn mark_in_flight(&mut self, now: Millis, address: SocketAddr) {
         self.in_flight.insert(address);
-        self.peers.entry(address).or_default().at = now.0;
+        self.peers.entry(address).or_default().last_sent_ms = now.0;
     }
 
     /// Records a successful exchange; `next` is the state after the sent update was
     /// accepted.
-    pub fn answered(&mut self, now: Millis, contact: &Contact, next: PeerState, answer: Answered) {
+    pub fn record_reply(
+        &mut self,
+        now: Millis,
+        contact: &Contact,
+        next: PeerState,
+        answer: GossipReply,
+    ) {
         let mut next = PeerState {
-            answers: true,
+            is_responsive: true,
             backoff_until: 0,
             ends_cursor: answer.ends_cursor,
             ..next
@@ -164,10 +170,10 @@
 
     /// Records a failed exchange; `before` is the state before it, because the update may
     /// not have arrived.
-    pub fn unanswered(&mut self, now: Millis, contact: &Contact, before: PeerState) {
-        let at = self.told(contact.address).at;
+    pub fn record_failure(&mut self, now: Millis, contact: &Contact, before: PeerState) {
+        let at = self.peer_state(contact.address).last_sent_ms;
         let next = PeerState {
-            at,
+            last_sent_ms: at,
             backoff_until: now.0 + BACKOFF_MS,
             cursor: before.cursor,
             scope: before.scope,
--- a/crates/moleroad_membership/src/lib.rs
+++ b/crates/moleroad_membership/src/lib.rs
@@ -24,5 +24,5 @@
     pub use crate::caller_update::{CallerUpdate, CallerUpdateOutcome};
     pub use crate::contacts::{Contact, ContactPlanner};
     pub use crate::fan_out::{Branch, fan_out};
-    pub use crate::gossip_state::{Answered, GossipState, PeerState};
+    pub use crate::gossip_state::{GossipReply, GossipState, PeerState};
 }
--- a/crates/moleroad_membership/tests/contacts.rs
+++ b/crates/moleroad_membership/tests/contacts.rs
@@ -42,11 +42,11 @@
         directory,
         own,
         seeds: &[peer(100)],
-        resting: &resting,
+        backed_off: &resting,
         is_busy: true,
         lacks_configuration: false,
-        is_young: false,
-        is_lost: false,
+        is_starting_up: false,
+        is_isolated: false,
     };
     planner.contacts()
 }
@@ -122,11 +122,11 @@
             directory: &directory,
             own: &relay,
             seeds: &[],
-            resting: &HashSet::new(),
+            backed_off: &HashSet::new(),
             is_busy: false,
             lacks_configuration: false,
-            is_young: false,
-            is_lost: false,
+            is_starting_up: false,
+            is_isolated: false,
         };
         queried_halls.extend(remote_halls(&planner.contacts()));
     }
@@ -160,11 +160,11 @@
         directory: &directory,
         own: &own,
         seeds: &[peer(100), peer(200)],
-        resting: &HashSet::new(),
+        backed_off: &HashSet::new(),
         is_busy: false,
         lacks_configuration: true,
-        is_young: true,
-        is_lost: true,
+        is_starting_up: true,
+        is_isolated: true,
     };
     let contacts = planner.contacts();
     assert_eq!(contacts.len(), 2);
@@ -172,7 +172,7 @@
     // A daemon that was answered and considers itself a relay queries a seed for all
     // records while it is starting up.
     let planner = ContactPlanner {
-        is_lost: false,
+        is_isolated: false,
         ..planner
     };
     let contacts = planner.contacts();
--- a/crates/moleroad_membership/tests/support/mod.rs
+++ b/crates/moleroad_membership/tests/support/mod.rs
@@ -75,7 +75,7 @@
 enum Event {
     Tick(usize),
     Request(Box<(Exchange, CallerUpdate, DeltaRequest)>),
-    Reply(Box<(Exchange, Answered, News)>),
+    Reply(Box<(Exchange, GossipReply, DirectoryDelta)>),
     Timeout(Box<Exchange>),
 }
 
@@ -185,7 +185,7 @@
         let count_heard = |daemon: &Daemon| {
             let daemons = daemon.directory.daemons();
             daemons
-                .filter(|observed| now.since(observed.at) < 2_500)
+                .filter(|observed| now.since(observed.last_seen) < 2_500)
                 .count()
         };
         let lacks = |daemon: &&Daemon| count_heard(daemon) < self.daemons.len() - 1;
@@ -242,11 +242,11 @@
             directory: &daemon.directory,
             own: &daemon.own,
             seeds: &seeds,
-            resting: &daemon.gossip.resting(now),
+            backed_off: &daemon.gossip.backed_off(now),
             is_busy: daemon.is_busy,
             lacks_configuration: false,
-            is_young: now.0 < STARTUP_MS,
-            is_lost: daemon.gossip.silent_ms(now) >= ISOLATION_TIMEOUT_MS,
+            is_starting_up: now.0 < STARTUP_MS,
+            is_isolated: daemon.gossip.ms_since_reply(now) >= ISOLATION_TIMEOUT_MS,
         };
         let due = daemon.gossip.due(now, planner.contacts(), None);
         for contact in due {
@@ -281,12 +281,12 @@
             return;
         };
         let daemon = &mut self.daemons[from];
-        daemon.gossip.begin(now, contact.address);
-        let before = daemon.gossip.told(contact.address);
+        daemon.gossip.mark_in_flight(now, contact.address);
+        let before = daemon.gossip.peer_state(contact.address);
         let mut next = before;
-        let request = next.question(now, &contact);
+        let request = next.delta_request(now, &contact);
         let update = CallerUpdate::since(&daemon.directory, &daemon.own, before.position);
-        next.at = now.0;
+        next.last_sent_ms = now.0;
         next.position = daemon.directory.position();
         let exchange = Exchange {
             from,
@@ -310,7 +310,7 @@
         let callee = &mut self.daemons[exchange.to];
         callee.traffic.answered += 1;
         let own = callee.own.clone();
-        let caller = update.take(&mut callee.directory, now, &own);
+        let caller = update.apply(&mut callee.directory, now, &own);
         if request.scope != Scope::CalleesHall {
             callee
                 .directory
@@ -320,8 +320,8 @@
         let delta =
             callee
                 .directory
-                .news(now, own.incarnation, &own.hall, &caller.instance, request);
-        let answered = Answered {
+                .delta(now, own.incarnation, &own.hall, &caller.instance, request);
+        let answered = GossipReply {
             unknown_caller: !caller.is_known,
             cursor: delta.cursor,
             has_more: delta.has_more,
@@ -340,13 +340,16 @@
         }
     }
 
-    fn receive_reply(&mut self, (exchange, answered, delta): (Exchange, Answered, News)) {
+    fn receive_reply(
+        &mut self,
+        (exchange, answered, delta): (Exchange, GossipReply, DirectoryDelta),
+    ) {
         let now = self.now();
         let daemon = &mut self.daemons[exchange.from];
         let contact = exchange.contact;
         daemon
             .gossip
-            .answered(now, &contact, exchange.next, answered);
+            .record_reply(now, &contact, exchange.next, answered);
         let slots = daemon.gossip.slots(contact.address);
         let own = &daemon.own.instance;
         let outcome = daemon.directory.apply_delta(now, own, delta, slots);
@@ -361,7 +364,7 @@
         daemon.traffic.timeouts += 1;
         daemon
             .gossip
-            .unanswered(now, &exchange.contact, exchange.before);
+            .record_failure(now, &exchange.contact, exchange.before);
     }
 
     /// Queues bytes on the sender's link and returns their arrival time.
--- a/crates/moleroad_quarantine/src/lib.rs
+++ b/crates/moleroad_quarantine/src/lib.rs
@@ -24,7 +24,7 @@
 //! for name in ["t-1", "t-2", "t-3"] {
 //!     let life = TargetIncarnation { target: TargetId::new(name), born_ms: 0 };
 //!     let request = content.fingerprint();
-//!     suspects.take(Millis(0), TerminationReport { request, life, age_ms: 0, is_excused: false });
+//!     suspects.record(Millis(0), TerminationReport { request, life, age_ms: 0, is_excused: false });
 //! }
 //! assert!(suspects.hold_left_ms(Millis(1), &content.fingerprint()).is_some());
 //! ```
--- a/crates/moleroad_quarantine/src/suspects.rs
+++ b/crates/moleroad_quarantine/src/suspects.rs
@@ -71,9 +71,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordOutcome {
     /// It was already known.
-    Nothing,
+    Unchanged,
     /// It was new.
-    News,
+    Recorded,
     /// It was new, and from now on the request is held.
     Held,
 }
@@ -118,22 +118,22 @@
     }
 
     /// Records a report that was produced here or received from another daemon.
-    pub fn take(&mut self, now: Millis, report: TerminationReport) -> RecordOutcome {
+    pub fn record(&mut self, now: Millis, report: TerminationReport) -> RecordOutcome {
         if report.age_ms >= TERMINATION_TTL_MS {
-            return RecordOutcome::Nothing;
+            return RecordOutcome::Unchanged;
         }
         let request = report.request;
         let was_held = self.hold_left_ms(now, &request).is_some();
         let at = Millis(now.0.saturating_sub(report.age_ms));
         if !self.insert_report(at, report) {
-            return RecordOutcome::Nothing;
+            return RecordOutcome::Unchanged;
         }
         self.evict_excess(now, &request);
         let is_held = self.hold_left_ms(now, &request).is_some();
         if is_held && !was_held {
             RecordOutcome::Held
         } else {
-            RecordOutcome::News
+            RecordOutcome::Recorded
         }
     }
 
@@ -239,7 +239,7 @@
 
     /// Returns the changes after `position`, oldest first, and the position up to which
     /// they are complete.
-    pub fn since(&self, now: Millis, position: u64) -> (Vec<TerminationReport>, u64) {
+    pub fn changes_since(&self, now: Millis, position: u64) -> (Vec<TerminationReport>, u64) {
         if position >= self.position {
             return (Vec::new(), self.position);
         }
--- a/crates/moleroad_quarantine/tests/suspects.rs
+++ b/crates/moleroad_quarantine/tests/suspects.rs
@@ -39,25 +39,25 @@
 fn the_third_end_holds_a_request_and_no_other() {
     let mut suspects = Suspects::default();
     assert_eq!(
-        suspects.take(START, termination(request(1), 1)),
-        RecordOutcome::News
+        suspects.record(START, termination(request(1), 1)),
+        RecordOutcome::Recorded
     );
     assert_eq!(
-        suspects.take(START, termination(request(2), 1)),
-        RecordOutcome::News
+        suspects.record(START, termination(request(2), 1)),
+        RecordOutcome::Recorded
     );
     assert_eq!(
-        suspects.take(START, termination(request(1), 2)),
-        RecordOutcome::News
+        suspects.record(START, termination(request(1), 2)),
+        RecordOutcome::Recorded
     );
     assert_eq!(suspects.hold_left_ms(START, &request(1)), None);
     assert_eq!(
-        suspects.take(START + 10, termination(request(1), 3)),
+        suspects.record(START + 10, termination(request(1), 3)),
         RecordOutcome::Held
     );
     assert_eq!(
-        suspects.take(START + 20, termination(request(1), 4)),
-        RecordOutcome::News
+        suspects.record(START + 20, termination(request(1), 4)),
+        RecordOutcome::Recorded
     );
     let held: Vec<RequestFingerprint> = suspects.held(START + 20).collect();
     assert_eq!(held, [request(1)]);
@@ -68,8 +68,8 @@
 fn an_end_that_several_saw_counts_once() {
     let mut suspects = Suspects::default();
     for _ in 0..3 {
-        suspects.take(START, termination(request(1), 1));
-        suspects.take(START, termination(request(1), 2));
+        suspects.record(START, termination(request(1), 1));
+        suspects.record(START, termination(request(1), 2));
     }
     assert_eq!(suspects.hold_left_ms(START, &request(1)), None);
     assert_eq!(suspects.position(), 2, "a known report changes nothing");
@@ -84,7 +84,7 @@
             life,
             ..termination(request(1), 1)
         };
-        suspects.take(START, reports);
+        suspects.record(START, reports);
     }
     assert!(suspects.hold_left_ms(START, &request(1)).is_some());
 }
@@ -93,22 +93,22 @@
 fn a_request_that_runs_to_a_good_end_is_excused_everywhere() {
     let (mut here, mut there) = (Suspects::default(), Suspects::default());
     for number in 1..=3 {
-        here.take(START, termination(request(1), number));
-        there.take(START, termination(request(1), number));
+        here.record(START, termination(request(1), number));
+        there.record(START, termination(request(1), number));
     }
     let told = here.position();
     assert!(here.excuse(&request(1)));
     assert!(!here.excuse(&request(1)), "it is already excused");
-    let (reports, _) = here.since(START, told);
+    let (reports, _) = here.changes_since(START, told);
     assert_eq!(reports.len(), 3);
     for termination in reports {
-        there.take(START, termination);
+        there.record(START, termination);
     }
     assert_eq!(there.hold_left_ms(START, &request(1)), None);
     // A daemon that only knows the older reports does not undo the excuse.
     assert_eq!(
-        there.take(START, termination(request(1), 1)),
-        RecordOutcome::Nothing
+        there.record(START, termination(request(1), 1)),
+        RecordOutcome::Unchanged
     );
 }
 
@@ -116,14 +116,14 @@
 fn ends_are_forgotten_one_by_one_and_one_more_holds_again() {
     let mut suspects = Suspects::default();
     for number in 0..3 {
-        suspects.take(START + number * 1_000, termination(request(1), number));
+        suspects.record(START + number * 1_000, termination(request(1), number));
     }
     let later = START + TERMINATION_TTL_MS;
     assert_eq!(suspects.hold_left_ms(later - 1, &request(1)), Some(1));
     assert_eq!(suspects.hold_left_ms(later, &request(1)), None);
     suspects.expire(later);
     assert_eq!(
-        suspects.take(later, termination(request(1), 9)),
+        suspects.record(later, termination(request(1), 9)),
         RecordOutcome::Held
     );
     suspects.expire(later + TERMINATION_TTL_MS);
@@ -137,7 +137,7 @@
         age_ms: TERMINATION_TTL_MS,
         ..termination(request(1), 1)
     };
-    assert_eq!(suspects.take(START, old), RecordOutcome::Nothing);
+    assert_eq!(suspects.record(START, old), RecordOutcome::Unchanged);
     assert!(suspects.is_empty());
 }
 
@@ -145,14 +145,14 @@
 fn bounds_hold_and_give_up_the_least_suspect() {
     let mut suspects = Suspects::default();
     for number in 0..20 {
-        suspects.take(START, termination(request(1), number));
+        suspects.record(START, termination(request(1), number));
     }
     assert_eq!(
         suspects.terminations_under(START, &request(1)).count(),
         MAX_TERMINATIONS
     );
     for number in 0..4 * MAX_SUSPECTS as u32 {
-        suspects.take(START + u64::from(number), termination(numbered(number), 99));
+        suspects.record(START + u64::from(number), termination(numbered(number), 99));
     }
     assert_eq!(suspects.len(), MAX_SUSPECTS);
     let now = START + 4 * MAX_SUSPECTS as u64;
@@ -164,11 +164,11 @@
     let (mut here, mut there) = (Suspects::default(), Suspects::default());
     let count = 2 * MAX_REPORTS_PER_MESSAGE + 10;
     for number in 0..count as u32 {
-        here.take(START, termination(numbered(number), 1));
+        here.record(START, termination(numbered(number), 1));
     }
     let (mut position, mut messages) = (0, 0);
     loop {
-        let (reports, reached) = here.since(START, position);
+        let (reports, reached) = here.changes_since(START, position);
         if reports.is_empty() {
             break;
         }
@@ -176,7 +176,7 @@
         messages += 1;
         position = reached;
         for termination in reports {
-            there.take(START, termination);
+            there.record(START, termination);
         }
     }
     assert_eq!((there.len(), messages), (count, 3));
@@ -204,9 +204,9 @@
 }
 
 fn tell(daemons: &mut [Suspects], from: usize, to: usize) {
-    let (reports, _) = daemons[from].since(START, 0);
+    let (reports, _) = daemons[from].changes_since(START, 0);
     for termination in reports {
-        daemons[to].take(START, termination);
+        daemons[to].record(START, termination);
     }
 }
 
@@ -219,7 +219,7 @@
         for event in events {
             match event {
                 Event::End { at, request: number, life } => {
-                    daemons[at].take(START, termination(request(number), life));
+                    daemons[at].record(START, termination(request(number), life));
                 }
                 Event::Success { at, request: number } => {
                     daemons[at].excuse(&request(number));
@@ -245,7 +245,7 @@
 
 fn hold(suspects: &mut Suspects, at: Millis, number: u8, lives: [u64; 3]) {
     for life in lives {
-        suspects.take(at, termination(request(number), life));
+        suspects.record(at, termination(request(number), life));
     }
 }
 
@@ -255,7 +255,7 @@
     hold(&mut suspects, START, 1, [1, 2, 3]);
     // Requests that ran beside it once are no other explanation.
     for life in 1..=3 {
-        suspects.take(START, termination(request(10 + life as u8), life));
+        suspects.record(START, termination(request(10 + life as u8), life));
     }
     assert!(!suspects.has_other_explanation(START, &request(1)));
     assert!(
@@ -288,22 +288,22 @@
 fn a_request_whose_target_ended_together_with_others_is_in_doubt() {
     let mut suspects = Suspects::default();
     hold(&mut suspects, START, 1, [1, 2, 3]);
-    suspects.take(START + 900, termination(request(2), 4));
+    suspects.record(START + 900, termination(request(2), 4));
     assert!(
         !suspects.has_other_explanation(START + 900, &request(1)),
         "one other target"
     );
-    suspects.take(START + 900, termination(request(3), 4));
+    suspects.record(START + 900, termination(request(3), 4));
     assert!(
         !suspects.has_other_explanation(START + 900, &request(1)),
         "the same target"
     );
-    suspects.take(START + 1_100, termination(request(2), 5));
+    suspects.record(START + 1_100, termination(request(2), 5));
     assert!(
         !suspects.has_other_explanation(START + 1_100, &request(1)),
         "too late"
     );
-    suspects.take(START + 900, termination(request(3), 6));
+    suspects.record(START + 900, termination(request(3), 6));
     assert!(suspects.has_other_explanation(START + 1_100, &request(1)));
 }
 
@@ -320,10 +320,10 @@
         age_ms: 100,
         ..termination(request(1), 3)
     };
-    suspects.take(START + 300, third);
+    suspects.record(START + 300, third);
     let left_ms = suspects.decision_left_ms(START + 300, &request(1));
     assert_eq!(left_ms, HOLD_DECISION_MS - 100);
-    suspects.take(START + 500, termination(request(1), 4));
+    suspects.record(START + 500, termination(request(1), 4));
     let left_ms = suspects.decision_left_ms(START + 200 + HOLD_DECISION_MS, &request(1));
     assert_eq!(left_ms, 0);
     assert!(suspects.hold_left_ms(START + 1_000, &request(1)).is_some());
--- a/crates/moleroad_rollout/src/arrival.rs
+++ b/crates/moleroad_rollout/src/arrival.rs
@@ -17,13 +17,13 @@
 
 /// Progress of the most advanced agent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Arrival {
+pub struct ArrivalEstimate {
     held: u32,
     pieces: u32,
     last_progress: Millis,
 }
 
-impl Arrival {
+impl ArrivalEstimate {
     /// Records the maximum number of pieces that an agent holds of a version that may
     /// be served, out of `pieces`.
     pub fn note(&mut self, now: Millis, held: u32, pieces: u32) {
--- a/crates/moleroad_rollout/src/backoff.rs
+++ b/crates/moleroad_rollout/src/backoff.rs
@@ -34,9 +34,9 @@
 
     /// Records the result of a call; `random` spreads the retries of many callers over
     /// a further interval of the backoff's length.
-    pub fn note(&mut self, now: Millis, succeeded: bool, random: u64) {
+    pub fn record_result(&mut self, now: Millis, succeeded: bool, random: u64) {
         if succeeded {
-            self.end();
+            self.reset();
             return;
         }
         // Concurrent calls that failed count as one failure.
@@ -48,7 +48,7 @@
     }
 
     /// Ends the backoff, as the source is known to respond again.
-    pub fn end(&mut self) {
+    pub fn reset(&mut self) {
         *self = Self::with_max(self.max_ms);
     }
 
--- a/crates/moleroad_rollout/src/choice.rs
+++ b/crates/moleroad_rollout/src/choice.rs
@@ -16,11 +16,11 @@
     /// asked at the moment.
     pub announced_ms: Option<u64>,
     /// Number of agents in the own region that have it and can be asked.
-    pub near: usize,
+    pub near_holders: usize,
     /// Number of agents in other regions that have it and can be asked.
-    pub far: usize,
+    pub far_holders: usize,
     /// How long agents in other regions have been known to have it, in milliseconds.
-    pub far_known_ms: u64,
+    pub far_holders_known_ms: u64,
 }
 
 /// A kind of source.
@@ -40,12 +40,12 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FetchConditions {
     /// How long the agent waits for the agents that are responsible for a piece.
-    pub patience: TakeoverTimeouts,
+    pub timeouts: TakeoverTimeouts,
     /// Time since the agent began with the version, or since pieces resumed after a
     /// stall of [`STALL_MS`], in milliseconds.
     pub elapsed_ms: u64,
     /// Order in which pieces leave the origin.
-    pub turns: OriginSchedule,
+    pub schedule: OriginSchedule,
     /// Time that the origin takes to send one piece, in milliseconds.
     pub origin_piece_ms: u64,
     /// Time to receive one piece over the part of this agent's link that is available
@@ -59,7 +59,7 @@
     /// Whether a piece may be fetched from another region without an offer.
     pub may_cross_regions: bool,
     /// The highest piece that this agent holds or was offered.
-    pub newest_seen: Option<u32>,
+    pub highest_seen: Option<u32>,
 }
 
 /// Time without a piece after which a fetch counts as stalled, in milliseconds; when
@@ -120,15 +120,15 @@
     if missing.offered {
         return Some((SourceKind::Offer, rank));
     }
-    if missing.near > 0 {
+    if missing.near_holders > 0 {
         return Some((
             SourceKind::OwnRegion,
-            OWN_REGION_ORDER + missing.near as u32,
+            OWN_REGION_ORDER + missing.near_holders as u32,
         ));
     }
-    let known_ms = missing.far_known_ms / CROSSING_TIMEOUT_FACTOR;
-    let region_sources = trees.permission(piece, conditions.patience, known_ms);
-    if region_sources.across_regions && missing.far > 0 && conditions.may_cross_regions {
+    let known_ms = missing.far_holders_known_ms / CROSSING_TIMEOUT_FACTOR;
+    let region_sources = trees.allowed_sources(piece, conditions.timeouts, known_ms);
+    if region_sources.across_regions && missing.far_holders > 0 && conditions.may_cross_regions {
         return Some((SourceKind::OtherRegions, 1));
     }
     let overdue_ms = conditions.overdue_ms(piece);
@@ -136,7 +136,7 @@
         true => overdue_ms.saturating_sub(IN_FLIGHT_TOLERANCE_MS),
         false => overdue_ms,
     };
-    let origin_sources = trees.permission(piece, conditions.patience, excess_ms);
+    let origin_sources = trees.allowed_sources(piece, conditions.timeouts, excess_ms);
     let may_retry = conditions.may_retry_origin(rank);
     let takes_over = trees.is_in_origin_region() && conditions.should_take_over(&missing, rank);
     let is_due = conditions.scheduled_time_reached(piece) && may_retry;
@@ -149,7 +149,7 @@
 impl MissingPiece {
     /// Whether an agent has the piece or recently announced that it is fetching it.
     fn is_in_flight(&self) -> bool {
-        self.far > 0 || self.announced_ms.is_some_and(|ms| ms < ANNOUNCEMENT_TTL_MS)
+        self.far_holders > 0 || self.announced_ms.is_some_and(|ms| ms < ANNOUNCEMENT_TTL_MS)
     }
 }
 
@@ -192,7 +192,7 @@
     /// answers: the origin is on schedule, but the responsible agent has not announced
     /// the fetch or has stopped since.
     fn should_take_over(&self, missing: &MissingPiece, rank: u32) -> bool {
-        let Some(newest) = self.newest_seen else {
+        let Some(newest) = self.highest_seen else {
             return false;
         };
         let is_on_schedule = self.late_ms(newest) <= ON_SCHEDULE_MS;
@@ -204,7 +204,7 @@
     /// Scheduled time of the piece: slightly faster than the origin sends, so that one
     /// late agent does not leave it idle.
     fn scheduled_ms(&self, piece: u32) -> u64 {
-        let unscaled_ms = u64::from(self.turns.number(piece)) * self.origin_piece_ms;
+        let unscaled_ms = u64::from(self.schedule.position_of(piece)) * self.origin_piece_ms;
         unscaled_ms * SCHEDULE_PERCENT / 100
     }
 
@@ -218,7 +218,8 @@
     /// responsible agent has passed.
     fn overdue_ms(&self, piece: u32) -> u64 {
         let piece_ms = self.origin_piece_ms.max(self.link_piece_ms);
-        let due_ms = u64::from(self.turns.number(piece) + 1) * piece_ms + self.patience.origin_ms;
+        let due_ms =
+            u64::from(self.schedule.position_of(piece) + 1) * piece_ms + self.timeouts.origin_ms;
         self.elapsed_ms.saturating_sub(due_ms)
     }
 }
--- a/crates/moleroad_rollout/src/lib.rs
+++ b/crates/moleroad_rollout/src/lib.rs
@@ -15,8 +15,8 @@
 //! ```
 //! use moleroad_rollout::prelude::*;
 //!
-//! let plan = WavePlan { engines: 12, turn_ms: 1_000, earliest_start_ms: 2_000, latest_start_ms: 5_000 };
-//! assert_eq!(plan.at_once(2_000), 3);
+//! let plan = WavePlan { engines: 12, outage_ms: 1_000, earliest_start_ms: 2_000, latest_start_ms: 5_000 };
+//! assert_eq!(plan.wave_size(2_000), 3);
 //! ```
 #![warn(missing_docs)]
 
@@ -33,14 +33,14 @@
 
 /// The types that most users of the crate need.
 pub mod prelude {
-    pub use crate::arrival::Arrival;
+    pub use crate::arrival::ArrivalEstimate;
     pub use crate::backoff::Backoff;
     pub use crate::choice::{
         ANNOUNCE_EVERY_MS, FetchConditions, MissingPiece, STALL_MS, SourceKind, choose_source,
         should_announce,
     };
     pub use crate::fallback::fallback;
-    pub use crate::old_weights::OldWeights;
+    pub use crate::old_weights::OldWeightsCutoff;
     pub use crate::schedule::OriginSchedule;
     pub use crate::sources::{
         AllowedSources, DigestQueryResult, Member, TakeoverTimeouts, copy_ms,
--- a/crates/moleroad_rollout/src/old_weights.rs
+++ b/crates/moleroad_rollout/src/old_weights.rs
@@ -13,13 +13,13 @@
 
 /// Cutoff for requests on older weights.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct OldWeights {
+pub struct OldWeightsCutoff {
     /// Latest time at which a request may start.
     pub last_start: Millis,
     version_ms: u64,
 }
 
-impl OldWeights {
+impl OldWeightsCutoff {
     /// Computes the cutoff for a newer version that was announced at `named_at` and is
     /// due `version_ms` later.
     pub fn new(named_at: Millis, version_ms: u64) -> Self {
--- a/crates/moleroad_rollout/src/schedule.rs
+++ b/crates/moleroad_rollout/src/schedule.rs
@@ -22,7 +22,7 @@
 
     /// Returns the position of `piece`; a piece that is not scheduled gets that of the
     /// next scheduled one.
-    pub fn number(&self, piece: u32) -> u32 {
+    pub fn position_of(&self, piece: u32) -> u32 {
         match &self.0 {
             None => piece,
             Some(missing) => missing.partition_point(|other| *other < piece) as u32,
--- a/crates/moleroad_rollout/src/superseded.rs
+++ b/crates/moleroad_rollout/src/superseded.rs
@@ -32,7 +32,7 @@
     /// Time since the last piece arrived, in milliseconds.
     pub idle_ms: u64,
     /// How long agents wait before they take over from each other.
-    pub patience: TakeoverTimeouts,
+    pub timeouts: TakeoverTimeouts,
     /// Number of newer versions that were announced.
     pub newer: usize,
     /// Whether any piece of a newer version is known to have left the origin.
@@ -55,7 +55,7 @@
         if has_few_pieces && !self.is_fallback && !self.is_mostly_released() {
             return true;
         }
-        let is_idle = self.idle_ms > self.patience.origin_ms * 2;
+        let is_idle = self.idle_ms > self.timeouts.origin_ms * 2;
         is_idle && !self.is_worth_waiting_for()
     }
 
--- a/crates/moleroad_rollout/src/trees.rs
+++ b/crates/moleroad_rollout/src/trees.rs
@@ -100,7 +100,7 @@
     /// immediately; the second may after one timeout, the third after two, and so on:
     /// if all agents timed out at the same moment, they would compete for the origin's
     /// connections.
-    pub fn permission(
+    pub fn allowed_sources(
         &self,
         piece: u32,
         patience: TakeoverTimeouts,
@@ -155,7 +155,7 @@
     /// Returns the agents to which the own agent announces that it fetches `piece` from
     /// the origin: its children, and those of the silent agents that precede it by
     /// rank.
-    pub fn told_of_draw(&self, piece: u32) -> Vec<&InstanceId> {
+    pub fn announcement_recipients(&self, piece: u32) -> Vec<&InstanceId> {
         let own_rank = self.rank(piece).unwrap_or(0);
         let Some(region) = self.region_of(&self.own) else {
             return Vec::new();
--- a/crates/moleroad_rollout/src/waves.rs
+++ b/crates/moleroad_rollout/src/waves.rs
@@ -10,7 +10,7 @@
     /// Number of engines of the service that hold an older version or have switched.
     pub engines: usize,
     /// Time for which an engine that switches is out of service, in milliseconds.
-    pub turn_ms: u64,
+    pub outage_ms: u64,
     /// Time after the announcement of the version at which the first engines can begin,
     /// in milliseconds.
     pub earliest_start_ms: u64,
@@ -23,13 +23,13 @@
     /// Number of waves that fit, if the first begins `from_ms` after the announcement
     /// of the version.
     fn waves(&self, from_ms: u64) -> u64 {
-        1 + self.latest_start_ms.saturating_sub(from_ms) / self.turn_ms.max(1)
+        1 + self.latest_start_ms.saturating_sub(from_ms) / self.outage_ms.max(1)
     }
 
     /// Returns the number of engines that switch at the same time: as few as the time
     /// allows, if all pieces were there `staged_ms` after the announcement of the
     /// version.
-    pub fn at_once(&self, staged_ms: u64) -> usize {
+    pub fn wave_size(&self, staged_ms: u64) -> usize {
         let waves = self.waves(staged_ms.max(self.earliest_start_ms));
         self.engines.div_ceil(waves as usize).max(1)
     }
@@ -54,9 +54,9 @@
         let own_weight = weight(own);
         let ranks_before = |other: &&InstanceId| weight(other) > own_weight;
         let rank = others.into_iter().filter(ranks_before).count();
-        let wave = (rank / self.at_once(staged_ms)) as u64;
+        let wave = (rank / self.wave_size(staged_ms)) as u64;
         // The first wave begins as soon as its pieces are there.
-        wave == 0 || elapsed_ms >= from_ms + wave * self.turn_ms
+        wave == 0 || elapsed_ms >= from_ms + wave * self.outage_ms
     }
 }
 
--- a/crates/moleroad_rollout/tests/arrival.rs
+++ b/crates/moleroad_rollout/tests/arrival.rs
@@ -1,13 +1,13 @@
 //! Expected time until weights that are being fetched are served.
 
-use moleroad_rollout::prelude::Arrival;
+use moleroad_rollout::prelude::ArrivalEstimate;
 use moleroad_types::prelude::Millis;
 
 const PIECE_MS: f64 = 43.0;
 
 #[test]
 fn the_expected_time_falls_as_pieces_come() {
-    let mut arrival = Arrival::default();
+    let mut arrival = ArrivalEstimate::default();
     arrival.note(Millis(0), 0, 48);
     let at_first = arrival.expected_ms(Millis(0), PIECE_MS).unwrap();
     arrival.note(Millis(1_000), 24, 48);
@@ -22,7 +22,7 @@
 
 #[test]
 fn nothing_is_promised_while_nothing_comes() {
-    let mut arrival = Arrival::default();
+    let mut arrival = ArrivalEstimate::default();
     assert_eq!(arrival.expected_ms(Millis(0), PIECE_MS), None);
     arrival.note(Millis(100), 30, 48);
     assert!(arrival.expected_ms(Millis(500), PIECE_MS).is_some());
--- a/crates/moleroad_rollout/tests/model/mod.rs
+++ b/crates/moleroad_rollout/tests/model/mod.rs
@@ -133,7 +133,7 @@
             self.schedule_start_ms = now;
             let missing: Vec<u32> = (0..pieces).filter(|p| !self.held.contains(p)).collect();
             self.turns = OriginSchedule::of_missing(&missing);
-            self.origin_pause.end();
+            self.origin_pause.reset();
             if from == Source::Origin {
                 self.origin_failed_ms = None;
             }
@@ -312,7 +312,7 @@
                     Source::Origin => {
                         agent.origin_failed_ms = Some(now);
                         let draw = self.random.random();
-                        agent.origin_pause.note(Millis(now), false, draw);
+                        agent.origin_pause.record_result(Millis(now), false, draw);
                     }
                     Source::Agent(source) if self.is_dead(source, now) => {
                         let offers = self.agents[to].offers.values_mut();
@@ -373,7 +373,7 @@
     }
 
     fn told_of_draw(&self, index: usize, piece: u32) -> Vec<usize> {
-        let recipients = self.agents[index].spread.told_of_draw(piece);
+        let recipients = self.agents[index].spread.announcement_recipients(piece);
         recipients.iter().map(|name| self.by_name[*name]).collect()
     }
 
@@ -397,15 +397,15 @@
         let mut far_known_ms = std::mem::take(&mut self.agents[index].far_known_ms);
         let agent = &self.agents[index];
         let conditions = FetchConditions {
-            patience: TakeoverTimeouts::for_pieces(self.setup.link_piece_ms * 1_000 / 8, 1.0),
+            timeouts: TakeoverTimeouts::for_pieces(self.setup.link_piece_ms * 1_000 / 8, 1.0),
             elapsed_ms: now - agent.schedule_start_ms,
-            turns: agent.turns.clone(),
+            schedule: agent.turns.clone(),
             origin_piece_ms: self.setup.origin_piece_ms,
             link_piece_ms: self.setup.link_piece_ms,
             can_ask_origin: !agent.origin_pause.is_active(Millis(now))
                 && !agent.in_flight.values().any(|from| *from == Source::Origin),
             may_cross_regions: true,
-            newest_seen: agent.held.iter().chain(agent.offers.keys()).max().copied(),
+            highest_seen: agent.held.iter().chain(agent.offers.keys()).max().copied(),
             origin_failed_ms: agent.origin_failed_ms.map(|failed| now - failed),
         };
         let missing = (0..self.setup.pieces).filter(|piece| !agent.held.contains(piece));
@@ -446,9 +446,9 @@
                 } else {
                     agent.announced.get(&piece).map(|at| now - at)
                 },
-                near: holders(&mut std::iter::once(agent.region)),
-                far,
-                far_known_ms: if far > 0 {
+                near_holders: holders(&mut std::iter::once(agent.region)),
+                far_holders: far,
+                far_holders_known_ms: if far > 0 {
                     now - *far_known_ms.entry(piece).or_insert(now)
                 } else {
                     0
--- a/crates/moleroad_rollout/tests/overtaking.rs
+++ b/crates/moleroad_rollout/tests/overtaking.rs
@@ -11,7 +11,7 @@
         unreleased: 10,
         is_fallback: false,
         idle_ms: 2_000,
-        patience: TakeoverTimeouts::for_pieces(24_576, 7.3),
+        timeouts: TakeoverTimeouts::for_pieces(24_576, 7.3),
         newer: 1,
         newer_released: false,
         usable_ms: 6_000,
--- a/crates/moleroad_rollout/tests/rollout.rs
+++ b/crates/moleroad_rollout/tests/rollout.rs
@@ -25,7 +25,7 @@
     idle_ms: u64,
 ) -> AllowedSources {
     let spread = DistributionTrees::new(own, members, origin_region, PIECES);
-    spread.permission(piece, patience, idle_ms)
+    spread.allowed_sources(piece, patience, idle_ms)
 }
 
 fn granted(idle_ms: u64, piece: u32) -> (usize, usize) {
@@ -130,15 +130,15 @@
     let members = members();
     let patience = TakeoverTimeouts::for_pieces(49_152, 9.4);
     let conditions = |elapsed_ms| FetchConditions {
-        patience,
+        timeouts: patience,
         elapsed_ms,
-        turns: OriginSchedule::all(),
+        schedule: OriginSchedule::all(),
         origin_piece_ms: 26,
         link_piece_ms: 42,
         can_ask_origin: true,
         origin_failed_ms: None,
         may_cross_regions: true,
-        newest_seen: None,
+        highest_seen: None,
     };
     let asks = |elapsed_ms: u64| {
         let asked = members.iter().flat_map(|member| {
@@ -175,20 +175,20 @@
     let own = &members[1].instance;
     let spread = DistributionTrees::new(own, &members, Some("south"), PIECES);
     let conditions = FetchConditions {
-        patience: TakeoverTimeouts::for_pieces(49_152, 9.4),
+        timeouts: TakeoverTimeouts::for_pieces(49_152, 9.4),
         elapsed_ms: 0,
-        turns: OriginSchedule::all(),
+        schedule: OriginSchedule::all(),
         origin_piece_ms: 26,
         link_piece_ms: 42,
         can_ask_origin: false,
         origin_failed_ms: None,
         may_cross_regions: true,
-        newest_seen: None,
+        highest_seen: None,
     };
     let known = |offered, near| MissingPiece {
         piece: 7,
         offered,
-        near,
+        near_holders: near,
         ..MissingPiece::default()
     };
     let order = |missing| choose_source(missing, &spread, &conditions);
@@ -244,7 +244,7 @@
 fn engines_take_turns_and_all_begin_in_time() {
     let plan = WavePlan {
         engines: 20,
-        turn_ms: 1_200,
+        outage_ms: 1_200,
         earliest_start_ms: 2_800,
         latest_start_ms: 5_800,
     };
@@ -270,18 +270,18 @@
         let changing = |at: u64| {
             let begun = times
                 .iter()
-                .filter(|begun| (**begun..**begun + plan.turn_ms).contains(&at));
+                .filter(|begun| (**begun..**begun + plan.outage_ms).contains(&at));
             begun.count()
         };
         let most = (0..8_000).map(changing).max().unwrap();
         // Engines that are staged later may overlap with the next wave.
         assert!(
-            most <= plan.at_once(staged_ms) * 3 / 2,
+            most <= plan.wave_size(staged_ms) * 3 / 2,
             "{staged_ms}: {most}"
         );
     }
-    assert_eq!(plan.at_once(2_000), 7);
-    assert_eq!(plan.at_once(3_900), 10);
+    assert_eq!(plan.wave_size(2_000), 7);
+    assert_eq!(plan.wave_size(3_900), 10);
     // Without time for waves, all begin at the same time.
     let own = &names[3];
     assert!(plan.may_begin(own, names.iter().skip(4), 5_800, 5_700));
@@ -295,13 +295,13 @@
     while now < Millis(10_000) {
         if !pause.is_active(now) {
             calls += 1;
-            pause.note(now, false, 0);
+            pause.record_result(now, false, 0);
         }
         now = now + 10;
     }
     assert!(calls < 25, "{calls} calls");
     assert!(calls > 8, "{calls} calls");
-    pause.note(now, true, 0);
+    pause.record_result(now, true, 0);
     assert!(!pause.is_active(now));
 }
 
@@ -309,19 +309,19 @@
 fn a_pause_is_as_long_as_its_owner_says_and_can_be_ended() {
     let mut pause = Backoff::with_max(400);
     for _ in 0..10 {
-        pause.note(Millis(0), false, 399);
-        pause.end();
+        pause.record_result(Millis(0), false, 399);
+        pause.reset();
     }
     let mut now = Millis(0);
     for _ in 0..10 {
         while pause.is_active(now) {
             now = now + 1;
         }
-        pause.note(now, false, 399);
+        pause.record_result(now, false, 399);
     }
     // Half of the maximum, plus the random part.
     assert!(pause.is_active(now + 590) && !pause.is_active(now + 600));
-    pause.end();
+    pause.reset();
     assert!(!pause.is_active(now));
 }
 
@@ -386,7 +386,7 @@
 
 #[test]
 fn an_engine_with_older_weights_and_a_silent_agent_is_left_at_half_time() {
-    let old = OldWeights::new(Millis(10_000), 8_000);
+    let old = OldWeightsCutoff::new(Millis(10_000), 8_000);
     assert!(old.last_start < Millis(18_000));
     assert!(old.may_send_to_silent(Millis(13_000)));
     // A request sent at 15.9 s started at 18.07 s.
@@ -406,15 +406,15 @@
     };
     let (first, second) = (of_rank(0).unwrap(), of_rank(1).unwrap());
     let conditions = |elapsed_ms, newest_seen| FetchConditions {
-        patience: TakeoverTimeouts::for_pieces(49_152, 9.4),
+        timeouts: TakeoverTimeouts::for_pieces(49_152, 9.4),
         elapsed_ms,
-        turns: OriginSchedule::all(),
+        schedule: OriginSchedule::all(),
         origin_piece_ms: 43,
         link_piece_ms: 42,
         can_ask_origin: true,
         origin_failed_ms: None,
         may_cross_regions: true,
-        newest_seen,
+        highest_seen: newest_seen,
     };
     let draws = |spread: &DistributionTrees, announced_ms, conditions: FetchConditions| {
         let missing = MissingPiece {
@@ -444,5 +444,5 @@
     assert!(!draws(&second, None, conditions(1_300, Some(3))));
     assert!(!draws(&second, None, conditions(700, None)));
     // An agent that was skipped gets an announcement of the fetch.
-    assert!(!second.told_of_draw(piece).is_empty());
+    assert!(!second.announcement_recipients(piece).is_empty());
 }
--- a/crates/moleroad_types/src/regions.rs
+++ b/crates/moleroad_types/src/regions.rs
@@ -14,7 +14,7 @@
 ///
 /// let route = AllowedRegions::only([Region::new("east"), Region::new("west")]);
 /// let account = AllowedRegions::only([Region::new("west")]);
-/// let both = route.and(&account);
+/// let both = route.intersection(&account);
 /// assert!(both.contains(&Region::new("west")));
 /// assert!(!both.contains(&Region::new("east")));
 /// ```
@@ -35,12 +35,12 @@
     }
 
     /// Returns whether all regions are allowed.
-    pub fn is_all(&self) -> bool {
+    pub fn is_unrestricted(&self) -> bool {
         self.0.is_none()
     }
 
     /// Returns whether no region is allowed.
-    pub fn is_none(&self) -> bool {
+    pub fn is_empty(&self) -> bool {
         self.0.as_ref().is_some_and(|regions| regions.is_empty())
     }
 
@@ -53,12 +53,12 @@
     }
 
     /// Returns the allowed regions in sorted order, or `None` if unrestricted.
-    pub fn named(&self) -> Option<&[Region]> {
+    pub fn as_slice(&self) -> Option<&[Region]> {
         self.0.as_deref()
     }
 
     /// Returns whether this set allows every region that `other` allows.
-    pub fn covers(&self, other: &Self) -> bool {
+    pub fn is_superset(&self, other: &Self) -> bool {
         match (&self.0, &other.0) {
             (None, _) => true,
             (Some(_), None) => false,
@@ -67,7 +67,7 @@
     }
 
     /// Returns the regions that at least one of the sets allows.
-    pub fn or(&self, other: &Self) -> Self {
+    pub fn union(&self, other: &Self) -> Self {
         match (&self.0, &other.0) {
             (Some(left), Some(right)) => Self::only(left.iter().chain(right.iter()).cloned()),
             _ => Self::all(),
@@ -75,7 +75,7 @@
     }
 
     /// Returns the regions that both sets allow.
-    pub fn and(&self, other: &Self) -> Self {
+    pub fn intersection(&self, other: &Self) -> Self {
         match (&self.0, &other.0) {
             (None, _) => other.clone(),
             (_, None) => self.clone(),
@@ -92,7 +92,7 @@
     /// Writes the names separated by commas, `all` for an unrestricted set, or `none` for
     /// an empty one.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Some(regions) = self.named() else {
+        let Some(regions) = self.as_slice() else {
             return f.write_str("all");
         };
         if regions.is_empty() {
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -149,8 +149,8 @@
     let arguments = vec!["--settings".to_string(), first.display().to_string()];
     let mut running =
         Process::start(Path::new(DAEMON), arguments, temp.0.join("first.log")).unwrap();
-    until("the first daemon to start", || {
-        running.printed().contains("started").then_some(())
+    wait_until("the first daemon to start", || {
+        running.output().contains("started").then_some(())
     });
     let second = temp.write(
         "second.yaml",
@@ -205,7 +205,7 @@
 /// Sends raw bytes and returns the response until the peer closes the connection.
 fn send_raw(entry: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(entry).unwrap();
-    stream.set_read_timeout(Some(GENEROUS)).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     stream.write_all(bytes).unwrap();
     stream.shutdown(std::net::Shutdown::Write).unwrap();
     let mut answer = Vec::new();
@@ -229,7 +229,7 @@
     let entry = deployment.entry(0);
     let key = account_key("pallets");
     let none = BTreeMap::new();
-    until("the entry to receive the account", || {
+    wait_until("the entry to receive the account", || {
         let answer = caller_get(entry, "/v1/services/depot-api/slots", &key);
         (answer.status == 200).then_some(())
     });
--- a/tests/request_pressure.rs
+++ b/tests/request_pressure.rs
@@ -41,7 +41,7 @@
                         continue;
                     };
                     let answer = request_stream(address, 8);
-                    if answer.is_stream_of(root, 8) {
+                    if answer.is_complete_stream(root, 8) {
                         answered.fetch_add(1, Ordering::AcqRel);
                     } else {
                         failed.push(answer);
@@ -64,7 +64,7 @@
     /// Waits for more than 40 further complete responses.
     fn wait_for_more(&self) {
         let before = self.answered();
-        until("more responses", || {
+        wait_until("more responses", || {
             (self.answered() > before + 40).then_some(())
         });
     }
@@ -91,7 +91,7 @@
     // An agent, an entry that is no control member, and an entry that is one.
     for name in ["engine-1", "entry-3", "entry-2"] {
         deployment.process(name).signal(Signal::Terminate);
-        let status = until("the process to end by itself", || {
+        let status = wait_until("the process to end by itself", || {
             deployment.process(name).exit_status()
         });
         assert!(status.success(), "{name}: {status}");
@@ -111,8 +111,8 @@
     let (deployment, root) = start(shape());
     let load = LoadGenerator::start(deployment.entry(0), root, 4);
     load.wait_for_more();
-    deployment.list_leaving(&["engine-0"]).unwrap();
-    until("the route to be withdrawn", || {
+    deployment.set_leaving(&["engine-0"]).unwrap();
+    wait_until("the route to be withdrawn", || {
         let before = started_counts(&deployment);
         load.wait_for_more();
         let after = started_counts(&deployment);
@@ -157,7 +157,7 @@
     let mut served = 0;
     for _ in 0..30 {
         let answer = request_stream(entry, 4);
-        assert!(answer.is_stream_of(root, 4), "{answer:?}");
+        assert!(answer.is_complete_stream(root, 4), "{answer:?}");
         served += 1;
     }
     assert_eq!(served, 30);
@@ -235,11 +235,11 @@
             })
         })
         .collect();
-    until("the flood to be rejected", || {
+    wait_until("the flood to be rejected", || {
         (refused.load(Ordering::Acquire) > 20).then_some(())
     });
     for _ in 0..20 {
-        assert!(request_stream(entry, 4).is_stream_of(root, 4));
+        assert!(request_stream(entry, 4).is_complete_stream(root, 4));
         assert_eq!(send_read(entry).status, 200);
     }
     stop.store(true, Ordering::Release);
@@ -256,7 +256,7 @@
     for name in ["entry-0", "entry-1", "entry-2"] {
         deployment.process(name).signal(Signal::Stop);
     }
-    let refused = until("the entry to reject requests", || {
+    let refused = wait_until("the entry to reject requests", || {
         let answer = request_stream(entry, 1);
         (answer.status != 200).then_some(answer)
     });
@@ -269,8 +269,10 @@
     for name in ["entry-0", "entry-1", "entry-2"] {
         deployment.process(name).signal(Signal::Continue);
     }
-    until("the entry to serve again", || {
-        request_stream(entry, 2).is_stream_of(root, 2).then_some(())
+    wait_until("the entry to serve again", || {
+        request_stream(entry, 2)
+            .is_complete_stream(root, 2)
+            .then_some(())
     });
 }
 
@@ -292,7 +294,7 @@
         .collect();
     let headers = BTreeMap::from([("X-Deadline-Ms", "2000".to_string())]);
     let body = r#"{"model":"notes","prompt":"x","stream":true,"max_tokens":50}"#;
-    let answer = until("a rejection because of the deadline", || {
+    let answer = wait_until("a rejection because of the deadline", || {
         let answer = caller_post(
             entry,
             "/v1/completions",
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)]
 
 use moleroad_fakes::caller::{caller_get, caller_post};
-use moleroad_fakes::deployment::{account_key, weights_of};
+use moleroad_fakes::deployment::{account_key, generate_weights};
 use moleroad_fakes::prelude::*;
 use moleroad_types::label::Operator;
 use moleroad_types::object::{REGION_LABEL, Replicas};
@@ -45,16 +45,16 @@
             "pallets",
             "notes",
             "v1",
-            &weights_of(1, 256 << 10),
+            &generate_weights(1, 256 << 10),
             64 << 10,
         )
         .unwrap();
     deployment.wait_serving("notes", root, engines);
     for (_, entry) in deployment.entries() {
-        until("the entry to receive routes", || {
+        wait_until("the entry to receive routes", || {
             (engines == 0 || request_stream(*entry, 1).status == 200).then_some(())
         });
-        until("the entry to receive services", || {
+        wait_until("the entry to receive services", || {
             (send_read(*entry).status == 200).then_some(())
         });
     }
@@ -103,7 +103,7 @@
 
 /// Returns the engine that has started a request since `before`.
 pub fn busy_engine(deployment: &Deployment, before: &BTreeMap<String, u64>) -> String {
-    until("a request to begin", || {
+    wait_until("a request to begin", || {
         let started = started_counts(deployment);
         started
             .into_iter()
