--- a/crates/moleroad_config/tests/residency.rs
+++ b/crates/moleroad_config/tests/residency.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn what_route_and_account_allow_binds_both() {
+fn allowed_regions_are_the_intersection_of_route_and_account() {
     let accounts = vec![account("one", only(&["east", "west"]))];
     let routes = vec![
         route("narrow", only(&["west", "south"])),
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_request_goes_by_the_configuration_that_is_in_force() {
+fn a_request_uses_the_regions_of_the_current_configuration() {
     let accounts = || vec![account("one", AllowedRegions::all())];
     let wide = table(1, vec![route("r", only(&["east", "west"]))], accounts());
     let narrow = table(2, vec![route("r", only(&["west"]))], accounts());
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn what_a_removed_route_or_account_allowed_last_binds_on() {
+fn the_last_regions_of_a_removed_route_or_account_stay_in_force() {
     let accounts = vec![account("one", only(&["west"]))];
     let before = table(1, vec![route("r", only(&["east", "west"]))], accounts);
     let other = vec![account("two", AllowedRegions::all())];
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn entries_for_a_host_stand_best_where_all_its_routes_allow() {
+fn entries_for_a_host_are_preferred_in_regions_common_to_its_routes() {
     let narrow = route("narrow", only(&["west", "south"]));
     let wide = route("wide", only(&["east", "west"]));
     let free = route("free", AllowedRegions::all());
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn regions_without_a_data_hall_are_doubtful() {
+fn regions_without_a_data_hall_cause_a_warning() {
     let known: BTreeSet<Region> = [Region::new("west")].into();
     let routes = vec![
         route("b", only(&["west", "wset"])),
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn a_route_and_an_account_without_a_common_region_are_doubtful() {
+fn a_route_and_an_account_without_a_common_region_cause_a_warning() {
     let known: BTreeSet<Region> = ["east", "west"].map(Region::new).into();
     // All routes with the same set of regions share one warning.
     let routes = (0..50).map(|number| route(&format!("r{number:02}"), only(&["east"])));
--- a/crates/moleroad_directory/tests/directory.rs
+++ b/crates/moleroad_directory/tests/directory.rs
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_new_life_at_an_address_ends_the_old_one() {
+fn a_new_incarnation_at_an_address_replaces_the_old_one() {
     let mut directory = Directory::new();
     directory.merge_target(Millis(0), target("old", 1, 9), 0);
     directory.merge_target(Millis(100), target("new", 1, 1), 0);
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn the_same_words_again_are_a_renewal() {
+fn a_repeated_record_counts_as_a_renewal() {
     let mut directory = Directory::new();
     directory.merge_target(Millis(0), target("a", 1, 1), 0);
     let change = directory.merge_target(Millis(1_000), target("a", 1, 2), 0);
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_restarted_daemon_replaces_its_earlier_life_in_any_order() {
+fn a_restarted_daemon_replaces_its_earlier_incarnation_in_any_order() {
     let mut directory = Directory::new();
     let mut restarted = entry("a", "h", "r", 1);
     restarted.incarnation = 2;
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn that_a_target_turns_cold_is_news_and_that_time_passes_is_not() {
+fn a_target_turning_cold_is_propagated_but_its_countdown_is_not() {
     let mut directory = Directory::new();
     let cold_record = |sequence, cold_left_ms| TargetRecord {
         cold_left_ms,
@@ -287,7 +287,7 @@
 }
 
 #[test]
-fn where_more_entries_are_ready_than_an_answer_names_all_are_named_alike() {
+fn entries_are_named_equally_often_when_an_answer_cannot_hold_all() {
     let directory = hall(200);
     let relays = directory.relays(Millis(1), "h1").len() as u64;
     let times = times_returned(&directory, 1_000);
@@ -321,7 +321,7 @@
 }
 
 #[test]
-fn a_later_birth_begins_a_life_that_knows_nothing_of_the_former() {
+fn a_later_start_time_begins_an_incarnation_without_earlier_state() {
     let mut directory = Directory::new();
     let former = TargetRecord {
         life: TargetLifecycle::Draining,
@@ -336,7 +336,7 @@
 }
 
 #[test]
-fn late_news_of_a_former_life_changes_nothing() {
+fn late_updates_of_an_earlier_incarnation_are_ignored() {
     let mut directory = Directory::new();
     directory.merge_target(Millis(100), born(2_000, 1), 0);
     let position = directory.position();
@@ -356,7 +356,7 @@
 }
 
 #[test]
-fn a_target_that_does_not_tell_its_birth_is_in_the_life_that_is_known() {
+fn a_target_without_a_start_time_belongs_to_the_known_incarnation() {
     let mut directory = Directory::new();
     directory.merge_target(Millis(100), born(2_000, 5), 0);
     assert_eq!(
@@ -368,7 +368,7 @@
 }
 
 #[test]
-fn a_word_without_a_birth_does_not_make_the_birth_forgotten() {
+fn a_record_without_a_start_time_keeps_the_known_start_time() {
     let mut directory = Directory::new();
     directory.merge_target(Millis(100), born(2_000, 5), 0);
     directory.merge_target(Millis(200), born(0, 6), 0);
@@ -408,7 +408,7 @@
 }
 
 #[test]
-fn a_late_answer_of_a_former_life_says_nothing_of_the_present_one() {
+fn a_late_answer_of_an_earlier_incarnation_does_not_affect_the_current_one() {
     let mut directory = Directory::new();
     directory.merge_target(Millis(100), born(2_000, 5), 0);
     let id = TargetId::new("t-1");
@@ -424,7 +424,7 @@
 }
 
 #[test]
-fn that_a_target_leaves_reaches_others_though_its_heartbeat_did_not_change() {
+fn a_leaving_target_is_propagated_without_a_changed_heartbeat() {
     let mut receiver = Directory::new();
     let mut sender = Directory::new();
     for directory in [&mut receiver, &mut sender] {
--- a/crates/moleroad_directory/tests/limits.rs
+++ b/crates/moleroad_directory/tests/limits.rs
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn its_own_calls_leave_the_limit_of_a_target_as_it_is() {
+fn heartbeats_do_not_change_the_limit_of_a_target() {
     let mut directory = directory_with_target();
     advertise(&mut directory, 100, 90, rate(2.0));
     for sequence in [2, 1] {
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_new_life_has_no_limit_and_gets_none_from_the_former() {
+fn a_new_incarnation_does_not_inherit_a_limit() {
     let mut directory = directory_with_target();
     advertise(&mut directory, 100, 90, rate(2.0));
     let former = directory.target(&id()).unwrap().record.clone();
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn all_directories_come_to_one_limit_in_any_order_of_news() {
+fn directories_converge_to_one_limit_in_any_order_of_updates() {
     let with_limit = |revision, per_s: Option<f64>| TargetRecord {
         limit: AdvertisedLimit {
             revision,
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_limit_that_changed_is_news_for_others() {
+fn a_changed_limit_is_propagated() {
     let mut directory = directory_with_target();
     let before = directory.position();
     advertise(&mut directory, 100, 90, rate(2.0));
--- a/crates/moleroad_directory/tests/news.rs
+++ b/crates/moleroad_directory/tests/news.rs
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn what_is_too_much_for_one_answer_comes_in_several() {
+fn large_updates_are_split_into_several_answers() {
     let mut callee = directory_of(300, 250);
     let mut caller = Caller::new("asker");
     let mut answers = 0;
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn a_load_that_changes_between_two_parts_of_an_answer_is_told() {
+fn a_load_change_between_two_parts_of_an_answer_is_reported() {
     let mut callee = directory_of(300, 0);
     let mut caller = Caller::new("asker");
     caller.pull(1, &callee, all(false));
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn a_daemon_that_begins_hears_whom_to_ask_where_the_rest_is_too_much() {
+fn a_starting_daemon_learns_its_contacts_even_if_the_answer_is_truncated() {
     let first = DeltaRequest {
         relays_suffice: true,
         ..all(true)
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn signs_of_life_take_a_byte_for_a_daemon_and_are_never_too_young() {
+fn liveness_takes_one_byte_per_daemon_and_never_understates_the_age() {
     let mut callee = directory_of(180, 0);
     let mut caller = Caller::new("asker");
     caller.pull(0, &callee, all(false));
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn a_number_of_a_daemon_that_was_forgotten_may_stand_for_another_one() {
+fn a_forgotten_daemons_number_may_be_reused() {
     let mut callee = directory_of(2, 0);
     let mut caller = Caller::new("asker");
     caller.pull(0, &callee, all(true));
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn an_asker_that_lacks_a_daemon_says_that_it_must_hear_all_again() {
+fn a_caller_that_lacks_a_daemon_requests_a_full_update() {
     let mut callee = directory_of(2, 0);
     let mut caller = Caller::new("asker");
     caller.cursor = Cursor {
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn numbers_of_a_former_life_of_the_callee_stand_for_nobody() {
+fn daemon_numbers_of_an_earlier_callee_incarnation_are_invalid() {
     let callee = directory_of(3, 0);
     let mut caller = Caller::new("asker");
     caller.pull(0, &callee, all(true));
@@ -257,7 +257,7 @@
 }
 
 #[test]
-fn a_daemon_that_calls_again_after_a_while_is_told_to_other_halls_anew() {
+fn a_daemon_that_calls_again_after_a_pause_is_reported_to_other_halls_again() {
     let mut callee = directory_of(3, 0);
     let guest = daemon(50, "h2");
     callee.merge_daemon(Millis(0), guest.clone(), 0);
@@ -272,7 +272,7 @@
 }
 
 #[test]
-fn who_brings_weights_hears_of_its_own_engine_and_of_no_load() {
+fn a_weights_subscriber_gets_its_own_engine_and_no_loads() {
     let weights = DeltaRequest {
         interest: Interest::Weights,
         ..all(false)
--- a/crates/moleroad_directory/tests/relays.rs
+++ b/crates/moleroad_directory/tests/relays.rs
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn who_asks_again_gets_only_what_changed() {
+fn a_repeated_request_gets_only_changes() {
     let mut directory = two_halls();
     let first = delta(&directory, 1, all_since(Cursor::default()));
     assert_eq!(first.daemons.len(), 6);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_relay_that_restarted_tells_all_again() {
+fn a_restarted_relay_sends_a_full_update() {
     let directory = two_halls();
     let first = delta(&directory, 1, all_since(Cursor::default()));
     let restarted = directory.delta(
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn another_hall_is_told_of_this_hall_and_of_who_calls_here() {
+fn another_hall_is_told_of_this_halls_daemons_and_callers() {
     let mut directory = two_halls();
     let request = DeltaRequest {
         scope: Scope::CalleesHall,
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn an_entry_that_wants_no_pieces_is_not_told_of_them() {
+fn an_entry_without_interest_in_pieces_gets_none() {
     let mut directory = two_halls();
     let first = delta(&directory, 1, all_since(Cursor::default()));
     let mut fetching = agent("h1-agent", "h1", 5);
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn a_record_without_pieces_does_not_take_known_pieces_away() {
+fn a_record_without_pieces_keeps_the_known_pieces() {
     let mut directory = two_halls();
     let mut stripped = agent("h1-agent", "h1", 5);
     stripped.pieces.clear();
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn signs_of_life_keep_daemons_from_falling_silent() {
+fn liveness_updates_keep_daemons_from_expiring() {
     let mut relay = two_halls();
     let mut entry = Directory::new();
     let mut slots = SlotTable::default();
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn targets_are_told_when_they_change_and_now_and_then() {
+fn targets_are_reported_on_change_and_periodically() {
     let mut directory = Directory::new();
     let record = |sequence| TargetRecord {
         sequence,
--- a/crates/moleroad_dispatch/tests/cold_admission.rs
+++ b/crates/moleroad_dispatch/tests/cold_admission.rs
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn what_its_agent_said_meanwhile_counts() {
+fn a_cold_report_by_the_agent_stops_a_chosen_send() {
     let known = target(Some(cold(true, 0)));
     let mut targets = with(&known);
     assert!(targets.may_still_send(Millis(6_000), &known));
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_divided_target_gets_only_what_was_counted_as_a_part() {
+fn a_target_with_divided_quota_gets_only_counted_requests() {
     let (warm, owned) = (target(None), target(Some(cold(false, 1))));
     let mut targets = with(&owned);
     targets.started(Millis(4_000), &owned.id, 0);
@@ -111,13 +111,13 @@
 }
 
 #[test]
-fn an_entry_passes_on_the_word_of_a_target_and_no_assumption() {
+fn an_entry_propagates_a_targets_report_but_no_assumption() {
     assert_eq!(passed_on_after_restore(0), (ColdSource::Restored, 0));
     assert_eq!(passed_on_after_restore(1_500), (ColdSource::Restored, 400));
 }
 
 #[test]
-fn sends_count_toward_the_part_of_a_target_that_was_not_listed_for_a_moment() {
+fn sends_count_toward_the_quota_of_a_briefly_unlisted_target() {
     let owned = target(Some(cold(false, 1)));
     let mut targets = with(&owned);
     targets.started(Millis(3_000), &owned.id, 0);
--- a/crates/moleroad_dispatch/tests/dispatch.rs
+++ b/crates/moleroad_dispatch/tests/dispatch.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn the_near_target_is_filled_before_a_far_one_within_reason() {
+fn a_near_target_is_preferred_until_it_is_too_loaded() {
     let mut targets = near_and_far();
     assert_eq!(chosen(&targets, 0).as_deref(), Some("near"));
     targets.started(Millis(0), &TargetId::new("near"), 0);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn what_others_have_in_flight_is_what_was_reported_beyond_ones_own() {
+fn requests_of_other_entries_are_the_reported_ones_minus_own() {
     let mut load = TargetLoad::default();
     load.started(Millis(0), 0);
     load.record_report(Millis(0), 2, 1);
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn when_all_targets_are_avoided_one_is_used_all_the_same() {
+fn one_target_is_used_when_all_are_avoided() {
     let mut targets = Targets::default();
     targets.set(vec![candidate("only", Distance::SameHall)]);
     targets.started(Millis(0), &TargetId::new("only"), 0);
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_target_about_to_change_its_weights_is_spared() {
+fn a_target_about_to_change_its_weights_is_avoided() {
     let mut near = candidate("near", Distance::SameHall);
     near.switching = true;
     let mut targets = Targets::default();
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn health_forgets_and_doubles_its_patience() {
+fn health_recovers_after_a_success_and_failures_decay() {
     let mut health = Health::default();
     health.record(Millis(0), Outcome::Unreachable);
     assert!(!health.is_avoided(Millis(400)));
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn prompts_that_wait_weigh_more_than_requests_that_run() {
+fn waiting_prompts_weigh_more_than_running_requests() {
     let mut targets = Targets::default();
     targets.prefill = Some(PrefillSpeed {
         tokens_per_ms: 30.0,
@@ -262,7 +262,7 @@
 }
 
 #[test]
-fn the_places_of_a_target_are_shared_out_without_rest() {
+fn all_slots_of_a_target_are_shared_out() {
     let names: Vec<String> = (0..10).map(|index| format!("entry-{index}")).collect();
     let demands = |per_s: fn(usize) -> f64| -> Vec<EntryDemand<'_>> {
         let demand = |(index, name)| EntryDemand {
@@ -296,7 +296,7 @@
 }
 
 #[test]
-fn the_demands_of_entries_are_read_once_for_all_targets() {
+fn entry_demands_are_computed_once_for_all_targets() {
     let names: Vec<String> = (0..500).map(|index| format!("entry-{index}")).collect();
     let read = std::cell::Cell::new(0);
     let demands = names.iter().map(|name| {
@@ -316,7 +316,7 @@
 }
 
 #[test]
-fn a_nearly_full_target_is_left_to_those_whose_places_are_free() {
+fn a_nearly_full_target_is_left_to_entries_with_free_slots() {
     let mut mine = candidate("target", Distance::SameHall);
     mine.slots = 10;
     mine.max_own = 10;
@@ -342,7 +342,7 @@
 }
 
 #[test]
-fn a_target_that_has_just_become_free_is_not_rushed() {
+fn a_newly_free_target_is_not_flooded() {
     let mut fresh = candidate("fresh", Distance::SameHall);
     fresh.slots = 100;
     fresh.max_own = 100;
--- a/crates/moleroad_dispatch/tests/engines.rs
+++ b/crates/moleroad_dispatch/tests/engines.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_few_engines_of_one_reach_are_looked_at() {
+fn a_shortlist_holds_a_few_engines_of_one_search_scope() {
     let targets = engines();
     assert!(targets.have_agents());
     let mut seen = std::collections::BTreeSet::new();
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_new_report_goes_before_shares_and_an_old_one_does_not() {
+fn a_fresh_report_overrides_the_slot_shares_and_a_stale_one_does_not() {
     let mut targets = engines();
     let only = [engine("near-0", Distance::SameHall)];
     let id = &only[0].id;
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn the_engine_with_the_fewest_unread_prompts_is_the_best() {
+fn the_engine_with_the_smallest_prefill_backlog_is_chosen() {
     let mut targets = engines();
     let looked_at: Vec<Candidate> = (0..3)
         .map(|index| engine(&format!("near-{index}"), Distance::SameHall))
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn an_agent_that_was_silent_rests_until_it_is_heard() {
+fn a_silent_agent_is_not_asked_until_it_is_heard_again() {
     let mut targets = engines();
     let id = TargetId::new("near-0");
     targets.agent_timed_out(Millis(0), &id);
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn a_target_whose_agent_is_silent_is_not_taken_for_an_idle_one() {
+fn a_target_with_a_silent_agent_does_not_count_as_idle() {
     let mut targets = engines();
     let looked_at = [0, 1].map(|index| engine(&format!("near-{index}"), Distance::SameHall));
     let [silent, busy] = [&looked_at[0].id, &looked_at[1].id];
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn a_target_out_of_reach_is_no_way_out_when_the_others_are_full() {
+fn an_unreachable_target_is_not_used_when_the_others_are_full() {
     let mut targets = engines();
     let looked_at = [0, 1].map(|index| engine(&format!("near-{index}"), Distance::SameHall));
     let [silent, full] = [&looked_at[0].id, &looked_at[1].id];
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn a_target_out_of_reach_is_drawn_again_when_its_agent_may_be_asked() {
+fn an_unreachable_target_is_shortlisted_again_when_its_agent_may_be_asked() {
     let mut targets = engines();
     let id = TargetId::new("near-0");
     let is_drawn = |targets: &Targets, now| {
@@ -241,7 +241,7 @@
 }
 
 #[test]
-fn a_target_whose_agent_nobody_asks_any_more_is_in_reach_again() {
+fn a_target_is_reachable_again_when_its_agent_is_no_longer_asked() {
     let mut targets = engines();
     let looked_at = [0, 1].map(|index| engine(&format!("near-{index}"), Distance::SameHall));
     let [silent, full] = [&looked_at[0].id, &looked_at[1].id];
--- a/crates/moleroad_dispatch/tests/limit.rs
+++ b/crates/moleroad_dispatch/tests/limit.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn what_an_owner_grants_in_a_span_is_borne_whatever_the_rate() {
+fn grants_of_an_owner_stay_within_the_tolerated_number_at_any_rate() {
     for milli in [
         0, 1, 50, 300, 700, 1_000, 2_200, 2_400, 7_000, 40_000, 900_000,
     ] {
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn an_owner_that_takes_over_within_a_span_adds_one_bucket_alone() {
+fn an_owner_that_takes_over_adds_at_most_one_bucket_to_the_limit() {
     for per_s in [0.5, 1.0, 2.4, 10.0, 100.0] {
         let burst = limit_bucket_params(RequestRate::per_s(per_s)).burst.ceil();
         let both = f64::from(max_granted(per_s)) + burst;
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_target_that_names_nothing_a_second_is_asked_now_and_then() {
+fn a_target_with_a_zero_limit_is_probed_periodically() {
     let terms = limit_bucket_params(RequestRate::per_s(0.0));
     let mut bucket = TokenBucket::full(Millis(0), terms);
     assert!(bucket.take(Millis(0)));
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn all_entries_work_out_one_owner_and_one_more_entry_moves_few_targets() {
+fn entries_agree_on_owners_and_an_added_entry_moves_few_targets() {
     let names: Vec<String> = (0..9).map(|number| format!("entry-{number}")).collect();
     let owner_of = |target: &str, entries: &[String], turned: usize| {
         let turned = entries.iter().cycle().skip(turned).take(entries.len());
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn a_target_without_a_limit_is_chosen_unasked_and_limited_ones_are_asked_for() {
+fn only_limited_targets_need_a_grant() {
     let (free, limited) = (target("free", None), target("limited", Some(2.0)));
     let mut targets = with(&[&limited, &free]);
     let (now, needs) = (Millis(1_000), Requirements::default());
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn the_wait_for_limited_targets_is_that_of_their_limits() {
+fn the_wait_for_limited_targets_follows_from_their_limits() {
     let (one, four) = (target("one", Some(1.0)), target("four", Some(4.0)));
     let (now, needs) = (Millis(1_000), Requirements::default());
     assert_eq!(
--- a/crates/moleroad_dispatch/tests/overdue.rs
+++ b/crates/moleroad_dispatch/tests/overdue.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn requests_that_can_be_in_time_go_before_those_that_cannot() {
+fn requests_that_can_meet_their_deadlines_go_first() {
     let mut queue = WaitQueue::default();
     assert!(queue.enter(waiter(1, WaitClass::Overdue, 0)));
     assert!(queue.enter(waiter(2, WaitClass::Overdue, 5)));
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn the_expected_wait_follows_the_pace_at_which_places_come() {
+fn the_expected_wait_follows_the_rate_of_freed_slots() {
     let mut pace = WaitEstimator::default();
     pace.record_enqueued(Millis(0), 0);
     for at in 1..=20 {
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn without_places_nobody_more_is_held() {
+fn the_expected_wait_grows_while_no_slot_is_freed() {
     let mut pace = WaitEstimator::default();
     pace.record_enqueued(Millis(0), 0);
     pace.record_enqueued(Millis(50), 1);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_request_without_hope_leaves_a_place_to_others() {
+fn a_request_that_cannot_meet_its_deadline_leaves_the_slot_to_others() {
     let mut targets = Targets::default();
     targets.set(vec![Candidate {
         version: Some(4),
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn overdue_requests_give_way_when_others_miss_their_time() {
+fn overdue_requests_yield_when_others_miss_their_deadlines() {
     let mut share = OverdueShare::default();
     // With ten slots, three may run.
     for _ in 0..3 {
--- a/crates/moleroad_dispatch/tests/rate_bound.rs
+++ b/crates/moleroad_dispatch/tests/rate_bound.rs
@@ -119,7 +119,7 @@
     #![proptest_config(ProptestConfig::with_cases(400))]
 
     #[test]
-    fn whatever_is_lost_late_killed_or_frozen_the_bound_holds(
+    fn the_bound_holds_under_loss_delay_kills_and_freezes(
         attempts in attempts(),
         faults in faults(),
         rate in 1.0..40.0_f64,
@@ -135,7 +135,7 @@
     }
 
     #[test]
-    fn terms_are_below_every_bound(
+    fn bucket_parameters_stay_below_every_bound(
         rate in 0.01..500.0_f64,
         overshoot in 0.0..3.0_f64,
         slack in 0.0..50.0_f64,
@@ -156,7 +156,7 @@
     /// Each entry knows only those of its own side; some are restarted, and all send as
     /// often as they may.
     #[test]
-    fn two_sets_of_entries_that_disagree_keep_a_divided_bound(
+    fn a_divided_bound_holds_when_entries_disagree_on_the_membership(
         sides in prop::collection::vec(any::<bool>(), 2..60),
         restarts in prop::collection::vec((0..60_usize, 0..4_000_u64), 0..10),
         steps in prop::collection::vec(1..40_u64, 60),
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn the_usual_terms_use_the_whole_rate_and_stay_below_the_bound() {
+fn default_bucket_parameters_use_the_whole_rate_within_the_bound() {
     let terms = usual().bucket_params().expect("terms");
     assert_eq!((terms.per_s, terms.burst), (15.0, 3.0));
     // 15 × 1.25 + 3, of 27.5 that the target tolerates.
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn under_load_most_of_the_rate_is_taken() {
+fn most_of_the_rate_is_used_under_load() {
     // A grant that no entry asks for is lost: with as many requests as the rate, and
     // with some more, at least 0.8 of the rate is used.
     for (per_s, least) in [(15.0, 0.8), (22.0, 0.9), (100.0, 0.97)] {
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn a_bucket_begins_empty_and_is_empty_after_its_owner_stood_still() {
+fn a_bucket_is_empty_at_start_and_after_a_suspension() {
     let terms = usual().bucket_params().expect("terms");
     let mut bucket = TokenBucket::new(Millis(5_000), terms);
     assert!(!bucket.take(Millis(5_000)));
@@ -264,7 +264,7 @@
 }
 
 #[test]
-fn what_was_sent_before_a_target_turned_cold_counts_toward_the_part() {
+fn sends_before_a_target_turned_cold_count_toward_the_quota() {
     let mut sends = SendTimes::default();
     (0..100).for_each(|at| sends.record(Millis(at * 10)));
     assert!(!sends.has_room(Millis(990 + QUOTA_WINDOW_MS - 1), 1));
@@ -272,7 +272,7 @@
 }
 
 #[test]
-fn other_terms_take_effect_at_once() {
+fn new_bucket_parameters_take_effect_at_once() {
     let terms = usual().bucket_params().expect("terms");
     let mut bucket = TokenBucket::new(Millis(0), terms);
     assert_eq!(bucket.available(Millis(1_000)), 3);
@@ -285,7 +285,7 @@
 }
 
 #[test]
-fn every_target_has_as_many_owners_as_the_bound_bears() {
+fn each_target_has_as_many_owners_as_its_rate_bound_allows() {
     let names: Vec<String> = (0..45).map(|n| format!("entry-{n}")).collect();
     let entries: Vec<&str> = names.iter().map(String::as_str).collect();
     let division = Division::of(usual());
@@ -316,7 +316,7 @@
 }
 
 #[test]
-fn a_target_is_cold_as_long_as_anything_says_so() {
+fn a_target_is_cold_while_any_source_says_so() {
     // A target that was just discovered may be cold.
     assert_eq!(
         news(400, 0).until(),
--- a/crates/moleroad_dispatch/tests/residency.rs
+++ b/crates/moleroad_dispatch/tests/residency.rs
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn without_a_target_in_an_allowed_region_nobody_can_take_it() {
+fn a_request_without_a_target_in_its_regions_cannot_be_served() {
     let targets = targets(&[OWN, OWN, "r1"]);
     let empty = only(&["r2"]);
     assert_eq!(
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn each_target_is_counted_under_what_keeps_it_out_first() {
+fn each_target_is_counted_under_the_first_reason_that_excludes_it() {
     let mut candidates: Vec<Candidate> = [OWN, "r1", "r1", "r1", "r1", "r2", "r1"]
         .iter()
         .enumerate()
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn places_count_in_allowed_regions_alone() {
+fn only_slots_in_allowed_regions_count() {
     let mut targets = targets(&[OWN, "r1", "r1", "r2"]);
     let two = only(&["r1", "r2"]);
     assert_eq!(targets.total_slots(&AllowedRegions::all()), 8);
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn as_many_agents_are_asked_where_the_own_region_is_not_allowed() {
+fn as_many_agents_are_asked_outside_a_disallowed_own_region() {
     let regions: Vec<&str> = (0..40).map(|number| REGIONS[number % 4]).collect();
     let targets = targets(&regions);
     let home = only(&["r1", "r2"]);
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn one_that_waits_for_a_full_region_holds_nobody_else_up() {
+fn a_request_waiting_for_a_full_region_does_not_block_others() {
     let (home, all) = (only(&["r1"]), AllowedRegions::all());
     let mut queue = WaitQueue::default();
     assert!(queue.enter(waiter(1, &home)));
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn overdue_requests_elsewhere_take_nothing_of_a_regions_share() {
+fn overdue_requests_count_only_in_the_share_of_their_region() {
     let mut share = OverdueShare::default();
     for _ in 0..3 {
         share.started(&Region::new("r2"));
@@ -285,7 +285,7 @@
     #![proptest_config(ProptestConfig::with_cases(4_000))]
 
     #[test]
-    fn no_send_leaves_the_regions_that_route_and_account_allow(
+    fn no_request_is_sent_outside_the_regions_of_route_and_account(
         regions in prop::collection::vec(0..4u8, 0..12),
         route in 0..16u8,
         account in 0..16u8,
--- a/crates/moleroad_dispatch/tests/rest.rs
+++ b/crates/moleroad_dispatch/tests/rest.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_rest_is_read_in_seconds_and_fractions() {
+fn a_backoff_is_parsed_in_seconds_and_fractions() {
     let read = [
         ("3", Some(3_000)),
         (" 3 ", Some(3_000)),
@@ -84,13 +84,13 @@
 
 proptest! {
     #[test]
-    fn no_value_gives_more_than_the_longest_rest(text in "\\PC*") {
+    fn a_backoff_is_capped_at_the_maximum(text in "\\PC*") {
         prop_assert!(parse_retry_after_ms(&text).is_none_or(|ms| ms <= MAX_BACKOFF_MS));
     }
 }
 
 #[test]
-fn a_shorter_wish_takes_nothing_from_a_longer_one() {
+fn a_shorter_backoff_does_not_shorten_a_longer_one() {
     let mut rests = TargetBackoffs::default();
     rests.record(Millis(100), life("t", 7), ANSWERED, 3_000);
     rests.record(Millis(200), life("t", 7), ANSWERED, 50);
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_wish_ends_with_the_life_that_had_it() {
+fn a_backoff_ends_with_the_incarnation_that_requested_it() {
     let mut rests = TargetBackoffs::default();
     rests.record(Millis(100), life("t", 7), ANSWERED, 3_000);
     assert_eq!(rests.until(Millis(200), &life("t", ANSWERED + 1)), None);
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_life_that_answered_before_its_first_heartbeat_came_keeps_its_wish() {
+fn a_backoff_requested_before_the_first_heartbeat_is_kept() {
     let mut rests = TargetBackoffs::default();
     rests.record(Millis(100), life("t", 7), ANSWERED, 3_000);
     let until = Some(Millis(3_100));
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn without_births_a_target_is_known_by_its_identity() {
+fn a_target_without_a_start_time_is_identified_by_its_id() {
     let mut rests = TargetBackoffs::default();
     rests.record(Millis(100), life("t", 0), ANSWERED, 3_000);
     let until = Some(Millis(3_100));
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_resting_target_is_chosen_by_no_way_until_it_has_rested() {
+fn a_target_in_backoff_is_never_chosen_before_the_backoff_ends() {
     let targets = targets(&[Some(50)]);
     let id = TargetId::new("t1");
     let all = AllowedRegions::all();
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn the_first_to_have_rested_is_known_where_nobody_else_serves() {
+fn the_earliest_end_of_backoff_is_known_when_no_target_serves() {
     let rested = |any, untried: Option<u64>| {
         Some(BackoffEnds {
             any: Millis(any),
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn a_wish_reaches_a_target_that_is_listed_already() {
+fn a_backoff_applies_to_an_already_listed_target() {
     let mut targets = targets(&[None, None]);
     targets.set_backoff(&TargetId::new("t1"), Some(Millis(50)));
     for random in 0..20 {
--- a/crates/moleroad_gateway/tests/cold.rs
+++ b/crates/moleroad_gateway/tests/cold.rs
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn without_a_bound_or_a_mechanism_nothing_is_held_back() {
+fn requests_are_not_limited_without_a_bound_or_a_mechanism() {
     for (table, off) in [
         (table(true, None), ""),
         (table(true, Some(BOUND)), "cold_grants, cold_division"),
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn targets_without_agents_are_sent_the_part_of_this_entry() {
+fn targets_without_agents_get_the_quota_of_this_entry() {
     for (is_engine, off) in [(false, ""), (true, "cold_grants")] {
         let settings = settings(off);
         let mut view = view(table(is_engine, Some(BOUND)), &settings);
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn where_no_agent_can_be_asked_cold_engines_are_divided() {
+fn the_quota_of_cold_engines_is_divided_when_no_agent_can_be_asked() {
     let compiled = |steps| {
         let mut service = Service::clone(
             table(true, Some(BOUND))
@@ -255,7 +255,7 @@
 }
 
 #[test]
-fn what_its_agent_says_counts_at_once() {
+fn an_agents_answer_takes_effect_at_once() {
     let settings = settings("");
     let mut view = view(table(true, Some(BOUND)), &settings);
     assert_eq!(admission(&view, 5_000), Admission::Unrestricted);
@@ -294,7 +294,7 @@
 }
 
 #[test]
-fn an_agent_counts_every_grant_and_tells_what_it_was_told() {
+fn an_agent_counts_grants_and_reports_the_bound_it_was_given() {
     let engine = ColdEngine::default();
     assert_eq!(engine.state(Millis(0)).grants, None);
     // The bucket is empty at first, since an earlier process of the agent may just have
@@ -314,7 +314,7 @@
 }
 
 #[test]
-fn an_agent_that_stood_still_begins_with_nothing() {
+fn an_agent_has_no_grants_right_after_a_suspension() {
     let engine = ColdEngine::default();
     engine.record_alive(Millis(1_000));
     engine.grant(Millis(1_000), ask(0));
@@ -329,7 +329,7 @@
 }
 
 #[test]
-fn grants_come_up_from_the_begin_of_the_agent_and_not_from_the_first_question() {
+fn grants_accumulate_from_the_start_of_the_agent() {
     let engine = ColdEngine::default();
     for at in [10_000, 10_400] {
         engine.record_alive(Millis(at));
@@ -340,7 +340,7 @@
 }
 
 #[test]
-fn a_bound_that_bears_nothing_gets_nothing() {
+fn a_bound_below_one_request_gives_no_grants() {
     let engine = ColdEngine::default();
     let nothing = GrantRequest {
         requests_per_s: 0.5,
--- a/crates/moleroad_gateway/tests/connect.rs
+++ b/crates/moleroad_gateway/tests/connect.rs
@@ -11,7 +11,7 @@
 const LIMIT: Duration = Duration::from_millis(400);
 
 #[tokio::test]
-async fn a_lost_first_packet_is_made_up_for_by_a_second_connection() {
+async fn a_second_connection_attempt_compensates_for_a_lost_first_packet() {
     let tried = AtomicU32::new(0);
     let connect = || async {
         match tried.fetch_add(1, Ordering::Relaxed) {
@@ -24,7 +24,7 @@
 }
 
 #[tokio::test]
-async fn one_connection_is_made_where_none_is_lost() {
+async fn a_single_connection_is_opened_without_packet_loss() {
     let tried = AtomicU32::new(0);
     let connect = || async {
         tokio::time::sleep(Duration::from_millis(20)).await;
@@ -35,7 +35,7 @@
 }
 
 #[tokio::test]
-async fn a_refusal_is_not_tried_again() {
+async fn a_refused_connection_is_not_retried() {
     let tried = AtomicU32::new(0);
     let connect = || async {
         tried.fetch_add(1, Ordering::Relaxed);
@@ -48,7 +48,7 @@
 }
 
 #[tokio::test]
-async fn a_connection_that_was_not_used_is_kept_no_longer_for_it() {
+async fn returning_an_unused_connection_does_not_extend_its_idle_time() {
     let listener = tokio::net::TcpListener::bind(("127.0.0.1", 0))
         .await
         .unwrap();
--- a/crates/moleroad_gateway/tests/decided.rs
+++ b/crates/moleroad_gateway/tests/decided.rs
@@ -52,7 +52,7 @@
 /// Guards against an entry that applies its own document under a version for
 /// which the control group committed another one.
 #[tokio::test]
-async fn a_document_that_changed_nothing_is_not_put_in_force_by_who_carried_it() {
+async fn a_document_that_was_not_committed_is_not_applied_by_its_proposer() {
     let leader = leader("decided-late");
     let (first, late) = (follower_of(&leader, "a"), follower_of(&leader, "b"));
     propose_until_acknowledged(&first, replace(5, "decided")).await;
@@ -65,7 +65,7 @@
 
 /// The same with concurrent proposals from several entries.
 #[tokio::test]
-async fn of_documents_that_race_for_a_version_all_carriers_hold_the_same() {
+async fn all_proposers_hold_the_same_document_of_a_contested_version() {
     let leader = leader("decided-race");
     let carriers: Vec<_> = (0..4)
         .map(|number| follower_of(&leader, &number.to_string()))
@@ -90,7 +90,7 @@
 /// Guards against acknowledging a proposal before this daemon has the newer
 /// configuration that superseded it.
 #[tokio::test]
-async fn what_was_overtaken_is_acknowledged_once_the_newer_one_is_in_force() {
+async fn a_superseded_change_is_acknowledged_once_the_newer_one_is_in_force() {
     let leader = leader("decided-newer");
     let (first, late) = (follower_of(&leader, "a"), follower_of(&leader, "b"));
     propose_until_acknowledged(&first, replace(9, "newest")).await;
@@ -101,7 +101,7 @@
 /// Guards against keeping a document that was never committed: whichever daemon
 /// detects the conflict, both must return to the committed document.
 #[tokio::test]
-async fn daemons_that_hold_two_documents_under_one_version_come_back_to_the_decided_one() {
+async fn daemons_with_different_documents_of_one_version_converge_to_the_committed_one() {
     let leader = leader("decided-twins");
     let (correct, wrong) = (follower_of(&leader, "a"), follower_of(&leader, "b"));
     propose_until_acknowledged(&correct, replace(5, "decided")).await;
--- a/crates/moleroad_gateway/tests/entries.rs
+++ b/crates/moleroad_gateway/tests/entries.rs
@@ -44,7 +44,7 @@
 }
 
 #[tokio::test]
-async fn a_caller_that_leaves_while_its_granted_request_waits_for_news_gives_the_place_back() {
+async fn a_caller_leaving_during_the_wait_for_updates_frees_its_slot() {
     let node = entry();
     let request = ask(&node, None);
     let first = acquire(&node, &request).await.expect("a free slot");
@@ -69,7 +69,7 @@
 }
 
 #[tokio::test]
-async fn an_entry_with_old_state_begins_by_waiting_for_news_for_a_bounded_time() {
+async fn an_entry_with_old_state_first_waits_for_updates_for_a_bounded_time() {
     let node = restarted_entry("begins").await;
     let lacks_updates = |node: &Node| {
         node.suspension_detector()
@@ -91,7 +91,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_counts_as_news_only_once_what_it_tells_of_was_fetched() {
+async fn an_answer_counts_as_an_update_only_once_its_contents_were_fetched() {
     let node = restarted_entry("fetches").await;
     let other = entry_with_configuration();
     evacuate(&other, "hall-a");
@@ -113,7 +113,7 @@
 }
 
 #[tokio::test]
-async fn a_request_that_is_barred_before_it_goes_out_counts_as_one() {
+async fn a_request_barred_before_it_is_sent_is_counted_once() {
     let node = entry();
     // Connections are accepted, but requests are not answered.
     let listeners = [(); 2].map(|()| std::net::TcpListener::bind("127.0.0.1:0").unwrap());
@@ -155,7 +155,7 @@
 }
 
 #[tokio::test]
-async fn a_request_whose_targets_are_all_evacuated_is_refused_for_that_at_once() {
+async fn a_request_with_only_evacuated_targets_is_refused_at_once() {
     let node = entry();
     evacuate(&node, "hall-a");
     let refused = acquire(&node, &ask(&node, None)).await.err();
@@ -174,7 +174,7 @@
 }
 
 #[tokio::test]
-async fn a_request_whose_only_allowed_target_had_it_may_come_back_soon() {
+async fn a_request_already_sent_to_its_only_allowed_target_gets_a_short_retry_time() {
     let node = entry();
     let mut restricted = ask(&node, Some("restricted"));
     restricted.tried = vec![TargetId::new("i-a")];
--- a/crates/moleroad_gateway/tests/evacuations.rs
+++ b/crates/moleroad_gateway/tests/evacuations.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn an_order_changes_a_hall_is_already_met_or_was_overtaken() {
+fn a_hall_order_applies_is_already_satisfied_or_is_superseded() {
     use HallOrderOutcome::*;
     let mut halls = Evacuations::default();
     // The order, its outcome, and the state after it.
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn daemons_that_hear_of_halls_in_any_order_end_alike_and_never_go_back() {
+fn hall_states_converge_in_any_order_and_never_revert() {
     for seed in 0..SEEDS {
         let mut random = SmallRng::seed_from_u64(seed);
         let halls = ["a", "b", "c"];
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn greetings_of_daemons_that_know_nothing_of_evacuations_or_ended_targets_are_read() {
+fn gossip_messages_without_evacuations_or_crash_records_are_decoded() {
     // Removes the last fields of an encoded array; `last` are their encoded bytes.
     let without = |bytes: &[u8], fields: u8, last: &[&[u8]]| {
         let tail = last.concat();
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn a_daemon_without_evacuations_spends_one_byte_on_them() {
+fn no_evacuations_are_encoded_in_one_byte() {
     let none = rmp_serde::to_vec(&HallUpdates::new()).unwrap();
     assert_eq!(none.len(), 1);
     let news = HallUpdate {
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn a_process_that_stood_still_waits_for_news_that_it_asked_for_afterwards() {
+fn a_suspended_process_waits_for_updates_requested_after_it_resumed() {
     let mut process = SuspensionDetector::new(Millis(0));
     for now in (50..2_000).step_by(50) {
         assert!(!process.observe(Millis(now)));
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn a_process_that_begins_with_what_it_kept_waits_for_news_but_not_for_old_calls() {
+fn a_process_started_from_stored_state_waits_for_updates_but_not_for_old_calls() {
     let mut process = SuspensionDetector::with_stored_state(Millis(5_000));
     assert!(!process.observe(Millis(5_010)));
     assert!(
--- a/crates/moleroad_gateway/tests/fan_out.rs
+++ b/crates/moleroad_gateway/tests/fan_out.rs
@@ -55,14 +55,14 @@
 }
 
 #[tokio::test]
-async fn every_entry_knows_that_a_target_is_gone_when_it_is_acknowledged() {
+async fn every_entry_knows_a_target_has_gone_before_the_acknowledgement() {
     let (caller, others) = entries(&[]);
     target_updates::deregister(&caller, "i-a").await;
     assert!(is_gone(&caller) && others.iter().all(|other| is_gone(other)));
 }
 
 #[tokio::test]
-async fn entries_behind_one_that_does_not_answer_are_told_all_the_same() {
+async fn entries_behind_an_unresponsive_one_are_still_notified() {
     // Includes the first entry of every branch.
     let silent: Vec<usize> = (0..ENTRIES).filter(|number| number % 7 < 3).collect();
     let (caller, others) = entries(&silent);
--- a/crates/moleroad_gateway/tests/hall_orders.rs
+++ b/crates/moleroad_gateway/tests/hall_orders.rs
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn what_was_acknowledged_last_holds_whatever_is_repeated_or_comes_late() {
+fn the_last_acknowledged_hall_order_survives_repeats_and_delays() {
     in_threads(SCHEDULES, |seed| {
         let mut simulation = Simulation::new(seed);
         let mut evacuated = true;
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn orders_that_race_have_one_outcome_that_all_members_share() {
+fn racing_hall_orders_have_one_outcome_on_all_members() {
     in_threads(SCHEDULES, |seed| {
         let mut simulation = Simulation::new(seed + 1_000_000);
         let mut changes = 0;
--- a/crates/moleroad_gateway/tests/halls.rs
+++ b/crates/moleroad_gateway/tests/halls.rs
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn when_a_hall_was_taken_back_is_known_as_exactly_as_any_news_tells() {
+fn the_restore_time_of_a_hall_follows_the_most_exact_update() {
     let mut view = view();
     assert_eq!(view.restored_at("hall-a"), None);
     assert_eq!(
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn places_of_an_evacuated_hall_count_for_nobody() {
+fn slots_in_an_evacuated_hall_are_not_counted() {
     let mut view = view();
     let needs = Requirements::default();
     let targets = |view: &View| {
--- a/crates/moleroad_gateway/tests/limits.rs
+++ b/crates/moleroad_gateway/tests/limits.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn each_target_has_grants_of_its_own_and_the_fewest_are_told() {
+fn grants_are_counted_per_target_and_the_fewest_are_reported() {
     let grants = LimitGrants::default();
     assert_eq!(grants.min_available(Millis(1_000)), None);
     let one = RequestRate::per_s(1.0);
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_limit_that_changes_counts_from_the_next_question() {
+fn a_changed_limit_applies_from_the_next_grant_request() {
     let grants = LimitGrants::default();
     let take = |at, per_s| grants.take(Millis(at), &id("a"), RequestRate::per_s(per_s));
     let given = |at, per_s| (0..50).filter(|_| take(at, per_s)).count();
--- a/crates/moleroad_gateway/tests/parts.rs
+++ b/crates/moleroad_gateway/tests/parts.rs
@@ -20,7 +20,7 @@
 use std::time::Duration;
 
 #[test]
-fn events_come_out_whole_however_the_bytes_are_cut() {
+fn events_are_parsed_whole_at_any_split_of_the_bytes() {
     let text = "id: 1\ndata: a\n\n: comment\n\nweight-versions: 2\nid: 2\ndata: b\n\nid: 3\r\ndata: c\r\n\r\n";
     for step in 1..text.len() {
         let mut splitter = EventSplitter::default();
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn half_an_event_is_held_and_dropped_when_its_target_is_lost() {
+fn a_partial_event_is_buffered_and_dropped_when_its_target_is_lost() {
     let mut splitter = EventSplitter::default();
     assert_eq!(
         &splitter.push(b"id: 1\ndata: a\n\nid: 2\nda")[..],
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_configuration_that_is_too_large_or_spoilt_is_refused_with_a_number() {
+fn an_oversized_or_corrupt_configuration_is_refused_with_a_code() {
     let large = vec![b' '; MAX_DOCUMENT_BYTES + 1];
     let document = ConfigDocument::new(ConfigVersion(3), &large);
     let error = document.bytes().unwrap_err().to_string();
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn daemons_that_hear_of_changes_in_any_order_end_alike_and_never_go_back() {
+fn configurations_converge_in_any_order_and_never_revert() {
     for seed in 0..3_000 {
         let mut random = SmallRng::seed_from_u64(seed);
         let mut changes: Vec<ControlCommand> = (1..8)
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn each_version_is_due_by_its_own_time() {
+fn each_version_has_its_own_deadline() {
     let mut named = NamedVersions::default();
     assert!(named.learn(2, Millis(1_000)));
     assert!(named.learn(3, Millis(4_000)));
@@ -246,7 +246,7 @@
 }
 
 #[test]
-fn experiments_are_checked_and_in_no_file_that_is_deployed() {
+fn experiments_are_validated_and_absent_from_deployed_files() {
     let sound = "instance: a\nrole: agent\nip: 127.0.0.1\nhall: h\nregion: r\npeer_ports: [1,2]\nengine: 127.0.0.1:1\n";
     let with = |text: &str| Settings::parse(&format!("{sound}experiments: {text}\n"));
     let settings = with("{off: [waves]}").unwrap();
@@ -307,7 +307,7 @@
 }
 
 #[test]
-fn every_answer_of_our_own_stands_in_the_table_with_its_status() {
+fn every_own_response_is_documented_with_its_status() {
     use moleroad_gateway::front::answer::EntryError::*;
     let rows = result_rows();
     let all = [
@@ -341,7 +341,7 @@
 }
 
 #[test]
-fn every_number_in_the_sources_stands_in_the_table_and_the_other_way_round() {
+fn error_codes_in_the_sources_and_the_table_match() {
     let rows = result_rows();
     let sources = concat!(
         include_str!("../src/settings.rs"),
@@ -388,7 +388,7 @@
 }
 
 #[test]
-fn offers_are_bounded_and_those_of_an_agent_that_is_gone_are_forgotten() {
+fn offers_are_bounded_and_removed_with_their_agent() {
     let agent = |number: u8| SocketAddr::from(([10, 0, 0, number], 7_000));
     let mut offers = Offers::default();
     for number in 0..50 {
--- a/crates/moleroad_gateway/tests/quarantine.rs
+++ b/crates/moleroad_gateway/tests/quarantine.rs
@@ -43,7 +43,7 @@
 }
 
 #[tokio::test]
-async fn a_request_is_refused_for_an_hour_after_the_third_end_and_not_after_the_second() {
+async fn a_request_is_refused_for_an_hour_after_the_third_crash_but_not_the_second() {
     let node = entry();
     report_terminations(&node, TERMINATIONS_TO_HOLD - 1);
     drop(
@@ -99,7 +99,7 @@
 }
 
 #[tokio::test]
-async fn a_request_that_has_not_begun_at_its_target_is_wanted_there_no_more() {
+async fn a_held_request_is_not_started_at_its_target() {
     let node = entry();
     let attempts = Attempts::new(node.clone(), request(&node, 1_500));
     let place = acquire(&node, &ask(&node, None))
@@ -111,7 +111,7 @@
 }
 
 #[tokio::test]
-async fn a_request_that_ran_to_a_good_end_lately_is_not_held_and_others_hear_of_it() {
+async fn a_recently_successful_request_is_not_held_and_its_success_is_propagated() {
     let node = entry();
     node.note_success(REQUEST);
     report_terminations(&node, TERMINATIONS_TO_HOLD);
@@ -122,7 +122,7 @@
 }
 
 #[tokio::test]
-async fn a_good_end_that_comes_later_lets_a_held_request_go_again() {
+async fn a_later_success_releases_a_held_request() {
     let node = entry();
     report_terminations(&node, TERMINATIONS_TO_HOLD);
     assert!(acquire(&node, &ask(&node, None)).await.is_err());
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_fact_takes_under_fifty_bytes_on_the_way_and_none_takes_one() {
+fn a_crash_record_is_encoded_in_under_fifty_bytes_and_none_in_one() {
     let none: Vec<TerminationReport> = Vec::new();
     assert_eq!(rmp_serde::to_vec(&none).unwrap().len(), 1);
     let life = TargetIncarnation {
@@ -175,7 +175,7 @@
 }
 
 #[tokio::test]
-async fn one_copy_of_a_request_in_doubt_is_sent_once_and_the_others_come_back_soon() {
+async fn one_copy_of_an_ambiguous_request_is_tried_and_others_get_a_short_retry_time() {
     let node = entry_with_doubtful_hold("one-copy-is-tried").await;
     commit_hold(&node).await;
     let mut first = request(&node, 5_000);
@@ -196,7 +196,7 @@
 }
 
 #[tokio::test]
-async fn a_request_in_no_doubt_or_without_a_leader_or_time_is_not_tried() {
+async fn no_trial_is_made_without_ambiguity_a_leader_and_enough_time() {
     let node = entry_with_doubtful_hold("no-trial").await;
     assert!(!trial::obtain(&node, &request(&node, 100)).await);
     node.view().leader = None;
@@ -211,7 +211,7 @@
 }
 
 #[tokio::test]
-async fn a_good_end_releases_what_the_control_group_keeps() {
+async fn a_success_releases_the_hold_stored_in_the_control_group() {
     let node = entry_with_doubtful_hold("good-end-releases").await;
     commit_hold(&node).await;
     node.note_success(REQUEST);
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn a_state_of_before_there_were_reviews_is_read() {
+fn a_state_without_reviews_is_decoded() {
     #[derive(serde::Serialize)]
     struct Earlier {
         configuration: Option<()>,
@@ -279,7 +279,7 @@
 }
 
 #[tokio::test]
-async fn a_copy_that_comes_while_others_tell_of_a_good_end_is_not_refused() {
+async fn a_copy_arriving_while_a_success_is_propagated_is_not_refused() {
     loop {
         if let Some(is_refused) = is_refused_before_decision().await {
             assert!(!is_refused);
--- a/crates/moleroad_gateway/tests/target_notices.rs
+++ b/crates/moleroad_gateway/tests/target_notices.rs
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_target_leaves_unless_it_says_no() {
+fn a_leaving_header_with_any_value_but_zero_counts() {
     let node = entry();
     let name = node.interface.headers().leaving.clone();
     let leaves = |values: &[&'static str]| {
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn the_strictest_limit_of_an_answer_counts_whatever_its_status() {
+fn the_strictest_limit_of_a_response_applies_at_any_status() {
     let node = entry();
     let name = node.interface.headers().limit.clone();
     let limit = |status, values: &[&'static str]| {
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn only_a_target_that_is_not_available_asks_for_rest() {
+fn only_an_unavailable_target_requests_a_backoff() {
     let node = entry();
     for status in [200, 202, 301, 408, 421, 429, 500, 502] {
         let notice = read(&node, status, &[(RETRY_AFTER, "3")]);
@@ -132,7 +132,7 @@
 }
 
 #[tokio::test]
-async fn what_all_targets_rest_from_is_refused_at_once_until_the_first_has_rested() {
+async fn requests_are_refused_until_the_first_backoff_ends_if_all_targets_have_one() {
     let node = entry();
     add_target(&node, "i-b", "hall-a", address_of(2));
     request_backoff(&node, "i-a", 1, 2 * LONG_BACKOFF_MS);
@@ -158,7 +158,7 @@
 }
 
 #[tokio::test]
-async fn a_request_that_waits_is_refused_when_its_last_target_asks_for_rest() {
+async fn a_waiting_request_is_refused_when_its_last_target_requests_a_backoff() {
     let node = entry();
     let (first, waiting) = send_one_and_queue_one(&node).await;
     request_backoff(&node, "i-a", 1, LONG_BACKOFF_MS);
@@ -171,7 +171,7 @@
 }
 
 #[tokio::test]
-async fn a_place_that_was_granted_before_the_wish_is_given_back() {
+async fn a_slot_granted_before_the_backoff_request_is_returned() {
     let node = entry();
     let (first, waiting) = send_one_and_queue_one(&node).await;
     // The slot is granted, and before the waiting request runs, the target asks for a
@@ -185,7 +185,7 @@
 }
 
 #[tokio::test]
-async fn a_rest_that_ends_in_time_is_waited_for() {
+async fn a_backoff_ending_before_the_deadline_is_waited_for() {
     let node = entry();
     let until =
         request_backoff(&node, "i-a", 1, SHORT_BACKOFF_MS).expect("the target is in backoff");
@@ -199,7 +199,7 @@
 }
 
 #[tokio::test]
-async fn a_target_that_is_heard_of_again_rests_on() {
+async fn a_target_heard_again_stays_in_backoff() {
     let node = entry();
     request_backoff(&node, "i-a", 1, LONG_BACKOFF_MS);
     let now = node.clock.now();
@@ -223,7 +223,7 @@
 }
 
 #[tokio::test]
-async fn a_request_that_all_known_targets_turned_away_may_come_back_soon() {
+async fn a_request_refused_by_all_known_targets_gets_a_short_retry_time() {
     let node = entry();
     let mut request = ask(&node, None);
     request.tried = vec![TargetId::new("i-a")];
@@ -240,7 +240,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_that_began_waits_for_another_target() {
+async fn a_started_stream_waits_for_another_target() {
     let node = entry();
     let mut request = ask(&node, None);
     request.tried = vec![TargetId::new("i-a")];
@@ -258,7 +258,7 @@
 }
 
 #[tokio::test]
-async fn a_hall_that_is_evacuated_beside_one_that_rests_does_not_hide_the_rest() {
+async fn an_evacuated_hall_does_not_hide_a_backoff_in_another_hall() {
     let node = entry();
     add_target(&node, "i-b", "hall-b", address_of(2));
     evacuate(&node, "hall-b");
--- a/crates/moleroad_membership/tests/contacts.rs
+++ b/crates/moleroad_membership/tests/contacts.rs
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn an_entry_greets_its_relay_and_one_relay_of_a_hall_asks_each_other_hall() {
+fn an_entry_gossips_with_its_relay_and_one_relay_asks_each_other_hall() {
     let directory = three_halls();
     let relays = relays_of(&directory, "a");
     let mut queried_halls = Vec::new();
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn every_relay_asks_a_hall_of_which_nothing_is_heard() {
+fn every_relay_contacts_a_silent_hall() {
     let mut directory = three_halls();
     for number in 100..128 {
         let own = daemon(number, "a", DaemonRole::Entry);
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_hall_has_a_relay_for_each_so_many_daemons() {
+fn the_number_of_relays_grows_with_the_hall() {
     let mut directory = Directory::new();
     for (count, relays) in [(28, 3), (96, 3), (200, 7), (400, 13)] {
         for number in 0..count {
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn a_daemon_that_is_lost_asks_the_seeds_whom_to_ask() {
+fn a_daemon_without_contacts_asks_the_seeds() {
     let own = daemon(101, "a", DaemonRole::Entry);
     let mut directory = Directory::new();
     directory.merge_daemon(Millis(0), own.clone(), 0);
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn an_agent_tells_only_the_relay_that_it_asks_of_each_change_of_load() {
+fn an_agent_reports_load_changes_only_to_its_relay() {
     let mut directory = three_halls();
     let mut own = daemon(110, "a", DaemonRole::Agent);
     let position = directory.position();
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn an_agent_asks_one_relay_and_greets_no_other_agent() {
+fn an_agent_gossips_with_one_relay_and_no_other_agent() {
     let directory = three_halls();
     let own = daemon(110, "a", DaemonRole::Agent);
     let contacts = contacts(&directory, &own, &[]);
--- a/crates/moleroad_membership/tests/fan_out.rs
+++ b/crates/moleroad_membership/tests/fan_out.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn each_daemon_is_told_once_and_within_its_hall() {
+fn each_daemon_is_notified_once_and_within_its_hall() {
     for count in [0, 1, 9, 32, 33, 154, 556] {
         let daemons = daemons(count);
         let hall_of = |address: &SocketAddr| {
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn nobody_makes_many_more_calls_than_the_root_of_those_told() {
+fn no_daemon_makes_many_more_calls_than_the_square_root_of_the_fan_out() {
     assert_eq!(max_calls(&fan_out(daemons(30))), 30);
     for (count, most) in [(125, 20), (250, 25), (500, 30), (1_000, 40), (2_000, 55)] {
         let calls = max_calls(&fan_out(daemons(count)));
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_few_daemons_are_told_without_others_passing_on() {
+fn a_few_daemons_are_notified_directly() {
     let branches = fan_out(daemons(32));
     assert!(branches.iter().all(|branch| branch.rest.is_empty()));
 }
--- a/crates/moleroad_membership/tests/growth.rs
+++ b/crates/moleroad_membership/tests/growth.rs
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn daemons_that_begin_together_soon_know_each_other() {
+fn daemons_started_together_soon_know_each_other() {
     for measured in fleets() {
         assert_eq!(measured.uninformed, 0, "with {} daemons", measured.count);
         assert_eq!(
@@ -128,12 +128,12 @@
 }
 
 #[test]
-fn what_crosses_between_halls_as_all_begin_grows_with_the_daemons_and_not_faster() {
+fn startup_traffic_between_halls_grows_at_most_linearly() {
     assert!(growth_exponent(IN_FIVE_HALLS, |measured| measured.startup_between_halls) < 1.2);
 }
 
 #[test]
-fn what_waits_at_one_link_as_all_begin_is_bounded() {
+fn the_queue_of_a_link_is_bounded_at_startup() {
     for measured in fleets() {
         let queued = measured.startup_max_queued;
         assert!(
@@ -145,12 +145,12 @@
 }
 
 #[test]
-fn what_crosses_between_halls_in_calm_grows_with_the_daemons_and_not_faster() {
+fn steady_traffic_between_halls_grows_at_most_linearly() {
     assert!(growth_exponent(IN_FIVE_HALLS, |measured| measured.steady_between_halls) < 1.2);
 }
 
 #[test]
-fn an_entry_hears_no_more_than_the_load_of_the_engines() {
+fn traffic_to_an_entry_is_bounded_by_the_engine_loads() {
     assert!(growth_exponent(IN_FIVE_HALLS, |measured| measured.entry_bytes) < 1.1);
     for measured in fleets() {
         let bytes_per_s = measured.entry_bytes * 1_000 / STEADY_MS;
@@ -163,12 +163,12 @@
 }
 
 #[test]
-fn an_agent_hears_nearly_the_same_in_a_larger_fleet() {
+fn traffic_to_an_agent_hardly_grows_with_the_fleet() {
     assert!(growth_exponent(IN_FIVE_HALLS, |measured| measured.agent_bytes) < 0.5);
 }
 
 #[test]
-fn a_relay_has_no_more_to_answer_in_a_larger_hall() {
+fn the_load_of_a_relay_does_not_grow_with_its_hall() {
     for measured in fleets() {
         let answers_per_s = measured.relay_answers * 1_000 / STEADY_MS;
         assert!(
--- a/crates/moleroad_quarantine/tests/fingerprint.rs
+++ b/crates/moleroad_quarantine/tests/fingerprint.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn parts_do_not_run_together() {
+fn fingerprints_separate_adjacent_parts() {
     let first = RequestContent {
         target: "/ab",
         body: b"c",
--- a/crates/moleroad_quarantine/tests/holds.rs
+++ b/crates/moleroad_quarantine/tests/holds.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_hold_ends_by_itself() {
+fn a_hold_expires() {
     let mut holds = Holds::default();
     assert!(holds.apply(&order(1, NOON + 5_000)));
     assert_eq!(holds.left_ms(UnixMillis(NOON), &request(1)), Some(5_000));
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn the_first_to_end_give_way() {
+fn the_holds_that_expire_first_are_evicted() {
     let mut holds = Holds::default();
     for number in 0..2 * MAX_HOLDS as u16 {
         holds.apply(&order(number, NOON + u64::from(number)));
@@ -54,7 +54,7 @@
 
 proptest! {
     #[test]
-    fn merging_needs_no_order(
+    fn merging_holds_is_commutative(
         first in prop::collection::vec((0..600_u16, 0..100_u64), 0..400),
         second in prop::collection::vec((0..600_u16, 0..100_u64), 0..400),
     ) {
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_good_end_speaks_for_a_minute_and_for_a_bounded_number() {
+fn recent_successes_expire_after_a_minute_and_are_bounded() {
     let mut successes = RecentSuccesses::default();
     successes.note(Millis(0), request(1));
     successes.note(Millis(30_000), request(1));
--- a/crates/moleroad_quarantine/tests/reviews.rs
+++ b/crates/moleroad_quarantine/tests/reviews.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn of_all_copies_one_is_tried_in_an_hour() {
+fn one_copy_of_a_held_request_is_tried_per_hour() {
     let mut reviews = Reviews::default();
     let first = trial(1, 7, NOON);
     assert!(reviews.grant(&first));
@@ -49,14 +49,14 @@
 }
 
 #[test]
-fn an_order_by_a_clock_that_is_behind_is_no_second_trial() {
+fn a_trial_order_from_a_slow_clock_grants_no_second_trial() {
     let mut reviews = Reviews::default();
     assert!(reviews.grant(&trial(1, 7, NOON)));
     assert!(!reviews.grant(&trial(1, 8, NOON - 30_000)));
 }
 
 #[test]
-fn a_good_end_ends_holds_of_before_and_those_told_late() {
+fn a_success_releases_earlier_and_late_reported_holds() {
     let mut reviews = Reviews::default();
     let ends = |reviews: &Reviews, until| reviews.ends_hold(&request(1), UnixMillis(until));
     assert!(!ends(&reviews, NOON));
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn the_one_that_changed_longest_ago_gives_way() {
+fn the_least_recently_changed_review_is_evicted() {
     let mut reviews = Reviews::default();
     for number in 0..=MAX_HOLDS as u16 {
         reviews.grant(&trial(number, 1, NOON + u64::from(number)));
@@ -91,7 +91,7 @@
 proptest! {
     /// Daemons that see the states of the log in any order reach its last state.
     #[test]
-    fn states_of_one_log_merge_to_the_last(
+    fn states_of_one_log_merge_to_the_latest(
         orders in prop::collection::vec((0..4u16, any::<bool>(), 0..3 * HOUR), 1..40),
         seen in prop::collection::vec(0..40usize, 0..10),
     ) {
--- a/crates/moleroad_quarantine/tests/suspects.rs
+++ b/crates/moleroad_quarantine/tests/suspects.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn the_third_end_holds_a_request_and_no_other() {
+fn the_third_crash_holds_a_request_and_no_other() {
     let mut suspects = Suspects::default();
     assert_eq!(
         suspects.record(START, termination(request(1), 1)),
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn an_end_that_several_saw_counts_once() {
+fn a_crash_seen_by_several_entries_counts_once() {
     let mut suspects = Suspects::default();
     for _ in 0..3 {
         suspects.record(START, termination(request(1), 1));
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_target_that_begins_again_under_its_identity_has_another_life() {
+fn a_target_restarted_under_its_id_is_another_incarnation() {
     let mut suspects = Suspects::default();
     for born_ms in 1..=3 {
         let life = TargetIncarnation { born_ms, ..life(1) };
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_request_that_runs_to_a_good_end_is_excused_everywhere() {
+fn a_request_that_succeeds_is_cleared_at_all_entries() {
     let (mut here, mut there) = (Suspects::default(), Suspects::default());
     for number in 1..=3 {
         here.record(START, termination(request(1), number));
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn ends_are_forgotten_one_by_one_and_one_more_holds_again() {
+fn crashes_expire_one_by_one_and_another_one_holds_again() {
     let mut suspects = Suspects::default();
     for number in 0..3 {
         suspects.record(START + number * 1_000, termination(request(1), number));
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_fact_that_is_too_old_is_not_taken() {
+fn a_crash_record_that_is_too_old_is_ignored() {
     let mut suspects = Suspects::default();
     let old = TerminationReport {
         age_ms: TERMINATION_TTL_MS,
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn bounds_hold_and_give_up_the_least_suspect() {
+fn bounds_are_kept_by_evicting_the_least_suspect_requests() {
     let mut suspects = Suspects::default();
     for number in 0..20 {
         suspects.record(START, termination(request(1), number));
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn what_does_not_fit_a_message_comes_with_the_next() {
+fn crash_records_that_do_not_fit_are_sent_in_the_next_message() {
     let (mut here, mut there) = (Suspects::default(), Suspects::default());
     let count = 2 * MAX_REPORTS_PER_MESSAGE + 10;
     for number in 0..count as u32 {
@@ -214,7 +214,7 @@
     #![proptest_config(ProptestConfig::with_cases(2_000))]
 
     #[test]
-    fn all_come_to_the_same_verdict(events in prop::collection::vec(event(), 0..40)) {
+    fn entries_reach_the_same_verdict_in_any_order_of_records(events in prop::collection::vec(event(), 0..40)) {
         let mut daemons = vec![Suspects::default(); 3];
         for event in events {
             match event {
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn one_request_alone_at_all_ends_is_in_no_doubt() {
+fn a_request_running_alone_at_every_crash_is_not_ambiguous() {
     let mut suspects = Suspects::default();
     hold(&mut suspects, START, 1, [1, 2, 3]);
     // Requests that ran beside it once are no other explanation.
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn two_held_requests_at_one_end_are_in_doubt_until_one_is_excused() {
+fn two_held_requests_of_one_crash_are_ambiguous_until_one_is_cleared() {
     let mut suspects = Suspects::default();
     hold(&mut suspects, START, 1, [1, 2, 3]);
     hold(&mut suspects, START, 2, [3, 4, 5]);
@@ -285,7 +285,7 @@
 }
 
 #[test]
-fn a_request_whose_target_ended_together_with_others_is_in_doubt() {
+fn a_hold_is_ambiguous_when_several_targets_crash_together() {
     let mut suspects = Suspects::default();
     hold(&mut suspects, START, 1, [1, 2, 3]);
     suspects.record(START + 900, termination(request(2), 4));
@@ -308,7 +308,7 @@
 }
 
 #[test]
-fn a_verdict_is_open_for_a_while_after_the_third_end_and_no_longer_after_a_fourth() {
+fn a_verdict_is_delayed_after_the_third_crash_but_not_after_a_fourth() {
     let mut suspects = Suspects::default();
     hold(&mut suspects, START, 1, [1, 2, 2]);
     assert_eq!(
--- a/crates/moleroad_rollout/tests/arrival.rs
+++ b/crates/moleroad_rollout/tests/arrival.rs
@@ -6,7 +6,7 @@
 const PIECE_MS: f64 = 43.0;
 
 #[test]
-fn the_expected_time_falls_as_pieces_come() {
+fn the_estimated_arrival_falls_as_pieces_arrive() {
     let mut arrival = ArrivalEstimate::default();
     arrival.note(Millis(0), 0, 48);
     let at_first = arrival.expected_ms(Millis(0), PIECE_MS).unwrap();
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn nothing_is_promised_while_nothing_comes() {
+fn no_arrival_is_estimated_while_no_pieces_arrive() {
     let mut arrival = ArrivalEstimate::default();
     assert_eq!(arrival.expected_ms(Millis(0), PIECE_MS), None);
     arrival.note(Millis(100), 30, 48);
--- a/crates/moleroad_rollout/tests/overtaking.rs
+++ b/crates/moleroad_rollout/tests/overtaking.rs
@@ -20,12 +20,12 @@
 }
 
 #[test]
-fn the_rest_of_a_copy_is_waited_for_while_the_origin_gives_nothing_newer() {
+fn missing_pieces_are_awaited_while_the_origin_has_nothing_newer() {
     assert!(!stuck().should_abandon());
 }
 
 #[test]
-fn a_version_is_given_up_once_the_newer_one_comes() {
+fn a_version_is_abandoned_once_a_newer_one_arrives() {
     let comes = SupersededFetch {
         newer_released: true,
         ..stuck()
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_version_that_could_hardly_be_served_is_given_up() {
+fn a_version_with_too_little_serving_time_left_is_abandoned() {
     let late = SupersededFetch {
         usable_ms: 1_500,
         ..stuck()
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_version_whose_rest_stays_away_is_given_up_however_long_it_could_be_served() {
+fn a_version_whose_missing_pieces_never_arrive_is_abandoned() {
     let away = SupersededFetch {
         idle_ms: 11_000,
         usable_ms: 3_600_000,
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_version_that_the_origin_no_longer_has_is_given_up() {
+fn a_version_the_origin_no_longer_has_is_abandoned() {
     let overtaken_twice = SupersededFetch {
         newer: 2,
         ..stuck()
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_version_of_which_little_is_out_is_given_up_at_once() {
+fn a_version_with_few_distributed_pieces_is_abandoned_at_once() {
     let little = SupersededFetch {
         missing: 80,
         unreleased: 70,
--- a/crates/moleroad_rollout/tests/rollout.rs
+++ b/crates/moleroad_rollout/tests/rollout.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn agents_that_get_nothing_take_over_one_after_the_other() {
+fn agents_without_progress_take_over_one_at_a_time() {
     let patience = TakeoverTimeouts::for_pieces(49_152, 9.4);
     let turn_ms = patience.across_regions_ms;
     // Four agents in each of three regions.
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn hundreds_of_agents_do_not_turn_to_the_origin_at_once() {
+fn hundreds_of_agents_do_not_contact_the_origin_at_once() {
     let member = |index: usize| Member {
         instance: InstanceId::new(format!("agent-{index}")),
         region: ["north", "south"][index % 2].into(),
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn an_agent_that_is_no_member_has_no_place_in_the_trees() {
+fn an_agent_outside_the_group_is_not_in_the_trees() {
     let stranger = InstanceId::new("stranger");
     let spread = DistributionTrees::new(&stranger, &members(), Some("south"), PIECES);
     assert_eq!(spread.rank(3), None);
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn what_was_offered_goes_before_what_is_known_by_the_directory() {
+fn offered_pieces_precede_those_known_from_the_directory() {
     let members = members();
     let own = &members[1].instance;
     let spread = DistributionTrees::new(own, &members, Some("south"), PIECES);
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn an_agent_that_is_alone_goes_to_the_origin() {
+fn a_single_agent_fetches_from_the_origin() {
     let own = InstanceId::new("alone");
     let patience = TakeoverTimeouts::for_pieces(1_000, 10.0);
     let alone = permission(&own, &[], None, 3, patience, 0);
@@ -241,7 +241,7 @@
 }
 
 #[test]
-fn engines_take_turns_and_all_begin_in_time() {
+fn engines_switch_in_turn_and_all_start_before_the_deadline() {
     let plan = WavePlan {
         engines: 20,
         outage_ms: 1_200,
@@ -288,7 +288,7 @@
 }
 
 #[test]
-fn a_source_that_refuses_is_left_alone_for_longer_each_time() {
+fn a_source_that_refuses_gets_an_increasing_backoff() {
     let mut pause = Backoff::default();
     let mut now = Millis(0);
     let mut calls = 0;
@@ -306,7 +306,7 @@
 }
 
 #[test]
-fn a_pause_is_as_long_as_its_owner_says_and_can_be_ended() {
+fn an_origin_backoff_lasts_as_requested_and_can_be_ended() {
     let mut pause = Backoff::with_max(400);
     for _ in 0..10 {
         pause.record_result(Millis(0), false, 399);
@@ -326,7 +326,7 @@
 }
 
 #[test]
-fn what_a_dead_agent_should_bring_is_overdue_after_one_copy_and_taken_over() {
+fn pieces_of_a_dead_agent_are_taken_over_after_the_time_of_one_copy() {
     // 48 pieces of 48 KiB over 15 Mbit/s: at least 1.26 s.
     let copy = copy_ms(48 * 49_152, 15_000);
     assert!((1_259..1_600).contains(&copy), "{copy}");
@@ -357,7 +357,7 @@
 }
 
 #[test]
-fn an_older_version_that_agents_have_whole_stands_in_for_one_that_does_not_come() {
+fn a_complete_older_version_replaces_one_that_does_not_arrive() {
     // The agents have all of version 2, all but one piece of 3, and 4 is announced
     // last.
     let has = |version: u64, piece: u32| version <= 2 || (version == 3 && piece != 7);
@@ -385,7 +385,7 @@
 }
 
 #[test]
-fn an_engine_with_older_weights_and_a_silent_agent_is_left_at_half_time() {
+fn an_engine_with_old_weights_and_a_silent_agent_is_avoided_from_half_the_deadline() {
     let old = OldWeightsCutoff::new(Millis(10_000), 8_000);
     assert!(old.last_start < Millis(18_000));
     assert!(old.may_send_to_silent(Millis(13_000)));
@@ -395,7 +395,7 @@
 }
 
 #[test]
-fn a_silent_agents_piece_is_drawn_by_the_next_and_a_busy_ones_is_not() {
+fn a_piece_of_a_silent_agent_is_fetched_by_the_next_but_not_of_a_busy_one() {
     let members = members();
     let piece = 7;
     let of_rank = |rank: usize| {
--- a/crates/moleroad_rollout/tests/swarm.rs
+++ b/crates/moleroad_rollout/tests/swarm.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn every_agent_has_a_copy_soon_after_its_link_could_carry_one() {
+fn every_agent_completes_a_copy_close_to_its_link_speed() {
     for (agents, seeds) in [(20, 4), (76, 4), (204, 3), (1_000, 1)] {
         for seed in 0..seeds {
             let setup = setup(agents, seed);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn an_origin_that_ends_after_one_copy_has_sent_enough() {
+fn one_copy_from_the_origin_is_enough() {
     // It answers for twice the time of a copy, then never again.
     for agents in [20, 204] {
         let setup = Setup {
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn agents_go_on_within_a_copys_time_when_the_origin_is_back() {
+fn agents_resume_within_the_time_of_one_copy_when_the_origin_is_back() {
     for agents in [20, 204] {
         let setup = Setup {
             origin_off: 300..6_300,
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn dead_agents_that_others_count_on_hold_nobody_up_for_long() {
+fn dead_agents_delay_others_only_briefly() {
     for agents in [20, 76, 204] {
         let setup = Setup {
             dead: agents / 4,
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_copy_is_out_though_agents_are_silent_and_the_origin_ends_soon() {
+fn a_copy_is_distributed_despite_silent_agents_and_an_early_origin_stop() {
     // One copy takes 2.1 s of the origin's link; it stops 0.4 s later.
     let cases = [
         (76, 0, 0),
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn the_rest_of_a_copy_comes_at_the_origins_rate_when_it_is_back() {
+fn the_missing_pieces_arrive_at_the_origins_rate_when_it_is_back() {
     // The origin fails after nine tenths of a copy have left it.
     let back_ms = 8_500;
     for (agents, dead) in [(20, 0), (76, 0), (76, 6), (204, 0)] {
--- a/tests/documents.rs
+++ b/tests/documents.rs
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn every_result_code_stands_in_the_table() {
+fn every_result_code_is_documented() {
     let table = read("docs/errors/README.md");
     for code in ResultCode::ALL {
         let execution = serde_json::to_value(code.execution()).unwrap();
