--- a/crates/moleroad_gateway/src/acquire.rs
+++ b/crates/moleroad_gateway/src/acquire.rs
@@ -23,8 +23,8 @@
 /// available together have hundreds of free slots at once.
 const MAX_OVERDUE_PROBING: usize = 3;
 
-fn probe_interval_ms(line: WaitClass) -> u64 {
-    match line {
+fn probe_interval_ms(class: WaitClass) -> u64 {
+    match class {
         WaitClass::InTime => PROBE_INTERVAL_MS,
         WaitClass::Overdue => OVERDUE_PROBE_INTERVAL_MS,
     }
@@ -51,30 +51,30 @@
     /// The target.
     pub candidate: Candidate,
     /// Incarnation of the target that receives the request.
-    pub life: TargetIncarnation,
+    pub incarnation: TargetIncarnation,
     /// Request that was sent to the target, and its deadline there.
     sent: Option<(RequestFingerprint, Millis)>,
-    line: WaitClass,
+    class: WaitClass,
     unread_tokens: Option<u64>,
     outcome: Outcome,
 }
 
 impl ReservedSlot {
     fn new(node: &Arc<Node>, request: &PlaceRequest, candidate: Candidate) -> Self {
-        let belief = estimate_load(node, request, &candidate);
-        if request.line == WaitClass::Overdue
-            && let Some(places) = node.view().services.get_mut(&request.service)
+        let load_estimate = estimate_load(node, request, &candidate);
+        if request.class == WaitClass::Overdue
+            && let Some(slots) = node.view().services.get_mut(&request.service)
         {
-            places.overdue_share.started(&candidate.region);
+            slots.overdue_share.started(&candidate.region);
         }
         Self {
-            load_estimate: belief,
+            load_estimate,
             node: node.clone(),
             service: request.service.clone(),
-            life: node.view().incarnation_of(&candidate.id),
+            incarnation: node.view().incarnation_of(&candidate.id),
             sent: None,
             candidate,
-            line: request.line,
+            class: request.class,
             unread_tokens: Some(request.prompt_tokens),
             outcome: Outcome::Abandoned,
         }
@@ -84,8 +84,8 @@
     pub fn responder(&self) -> Responder {
         Responder {
             address: self.candidate.address,
-            target: self.life.target.clone(),
-            born_ms: self.life.born_ms,
+            target: self.incarnation.target.clone(),
+            born_ms: self.incarnation.born_ms,
         }
     }
 
@@ -105,7 +105,7 @@
         if let Some((request, until)) = self.sent.take().filter(|_| was_given_up) {
             let now = self.node.clock.now();
             let mut ends = self.node.target_ends();
-            ends.record_abandoned(now, &self.life, request, until);
+            ends.record_abandoned(now, &self.incarnation, request, until);
         }
     }
 
@@ -115,8 +115,8 @@
             return;
         };
         let mut view = self.node.view();
-        if let Some(places) = view.services.get_mut(&self.service) {
-            places.targets.prompt_read(&self.candidate.id, tokens);
+        if let Some(slots) = view.services.get_mut(&self.service) {
+            slots.targets.prompt_read(&self.candidate.id, tokens);
         }
     }
 
@@ -132,15 +132,15 @@
         self.mark_prompt_read();
         let now = self.node.clock.now();
         let mut view = self.node.view();
-        let least = self.node.min_version(&view, &self.service);
-        if let Some(places) = view.services.get_mut(&self.service) {
-            places
+        let min_version = self.node.min_version(&view, &self.service);
+        if let Some(slots) = view.services.get_mut(&self.service) {
+            slots
                 .targets
                 .finished(now, &self.candidate.id, self.outcome);
-            if self.line == WaitClass::Overdue {
-                places.overdue_share.ended(&self.candidate.region);
+            if self.class == WaitClass::Overdue {
+                slots.overdue_share.ended(&self.candidate.region);
             }
-            places.serve_waiting(now, least);
+            slots.serve_waiting(now, min_version);
         }
     }
 }
@@ -158,12 +158,12 @@
     fn drop(&mut self) {
         let now = self.node.clock.now();
         let mut view = self.node.view();
-        let Some(places) = view.services.get_mut(&self.request.service) else {
+        let Some(slots) = view.services.get_mut(&self.request.service) else {
             return;
         };
-        places.cancel(self.id);
+        slots.cancel(self.id);
         if let Ok(candidate) = self.grant.try_recv() {
-            let (targets, tokens) = (&mut places.targets, self.request.prompt_tokens);
+            let (targets, tokens) = (&mut slots.targets, self.request.prompt_tokens);
             targets.prompt_read(&candidate.id, tokens);
             targets.finished(now, &candidate.id, Outcome::Abandoned);
         }
@@ -177,27 +177,27 @@
 /// requests wait, or when no target is eligible for the request.
 pub async fn acquire(node: &Arc<Node>, request: &PlaceRequest) -> Result<ReservedSlot, NoPlace> {
     let now = node.clock.now();
-    let place = |candidate| ReservedSlot::new(node, request, candidate);
+    let slot = |candidate| ReservedSlot::new(node, request, candidate);
     let may_probe_now = {
         let view = node.view();
-        let Some(places) = view.services.get(&request.service) else {
+        let Some(slots) = view.services.get(&request.service) else {
             return Err(no_place(now, None, Requirements::default(), 1));
         };
         if let Some(refused) = immediate_refusal(node, &view, request) {
             return Err(refused);
         }
-        let ahead = places
+        let ahead = slots
             .queue
-            .count_ahead(request.line, request.residency.allowed());
-        ahead == 0 && places.admits(request, view.entry_count(now))
+            .count_ahead(request.class, request.residency.allowed());
+        ahead == 0 && slots.admits(request, view.entry_count(now))
     };
     if may_probe_now && let Some(candidate) = probe::find(node, request).await {
-        return Ok(place(candidate));
+        return Ok(slot(candidate));
     }
     let (id, grant) = {
         let mut view = node.view();
-        let places = view.services.get_mut(&request.service);
-        match places.and_then(|places| places.enqueue(now, request)) {
+        let slots = view.services.get_mut(&request.service);
+        match slots.and_then(|slots| slots.enqueue(now, request)) {
             Some(waiting) => waiting,
             None => return Err(no_place_for(node, &view, request)),
         }
@@ -209,23 +209,24 @@
         grant,
     };
     loop {
-        let next_probe_at = (node.clock.now() + probe_interval_ms(request.line)).min(request.until);
+        let next_probe_at =
+            (node.clock.now() + probe_interval_ms(request.class)).min(request.until);
         let granted =
             tokio::time::timeout_at(node.clock.instant(next_probe_at), &mut queued.grant).await;
         // Holds the slot from here on, so that it is released if the caller
         // disconnects.
-        let granted = granted.ok().and_then(Result::ok).map(place);
+        let granted = granted.ok().and_then(Result::ok).map(slot);
         node.catch_up_after_suspension().await;
         let residency = node.view().residency(&queued.request.residency);
         queued.request.residency = residency;
-        if let Some(place) = granted {
-            if is_open(node, &queued.request, &place.candidate) {
-                return Ok(place);
+        if let Some(slot) = granted {
+            if is_open(node, &queued.request, &slot.candidate) {
+                return Ok(slot);
             }
             // State that arrived after the slot was granted makes the target
             // ineligible.
             let request = queued.request.clone();
-            drop((place, queued));
+            drop((slot, queued));
             return Box::pin(acquire(node, &request)).await;
         }
         let request = &queued.request;
@@ -242,10 +243,10 @@
             && let Some(candidate) = probe::find(node, request).await
         {
             let now = node.clock.now();
-            if let Some(places) = node.view().services.get_mut(&request.service) {
-                places.record_granted(now, request.line);
+            if let Some(slots) = node.view().services.get_mut(&request.service) {
+                slots.record_granted(now, request.class);
             }
-            return Ok(place(candidate));
+            return Ok(slot(candidate));
         }
     }
 }
@@ -254,41 +255,41 @@
 fn is_open(node: &Node, request: &PlaceRequest, candidate: &Candidate) -> bool {
     let view = node.view();
     let needs = request.needs(node.clock.now(), node.min_version(&view, &request.service));
-    let places = view.services.get(&request.service);
-    places.is_some_and(|places| places.targets.is_eligible(&candidate.id, needs))
+    let slots = view.services.get(&request.service);
+    slots.is_some_and(|slots| slots.targets.is_eligible(&candidate.id, needs))
 }
 
 /// Returns whether the queued request is among the next to be sent and has to probe
 /// agents itself.
 fn is_next_in_queue(node: &Node, request: &PlaceRequest, id: WaiterId) -> bool {
     let view = node.view();
-    let places = view.services.get(&request.service);
-    places.is_some_and(|places| {
-        let count = match request.line {
+    let slots = view.services.get(&request.service);
+    slots.is_some_and(|slots| {
+        let count = match request.class {
             WaitClass::InTime => 1,
             WaitClass::Overdue => MAX_OVERDUE_PROBING,
         };
         let now = node.clock.now();
-        let is_admitted = places.admits(request, view.entry_count(now));
-        let probes = places.targets.require_queries() && is_admitted;
-        probes && places.queue.is_among_first(count, id, now)
+        let is_admitted = slots.admits(request, view.entry_count(now));
+        let probes = slots.targets.require_queries() && is_admitted;
+        probes && slots.queue.is_among_first(count, id, now)
     })
 }
 
 fn estimate_load(node: &Node, request: &PlaceRequest, candidate: &Candidate) -> LoadEstimate {
     let now = node.clock.now();
     let view = node.view();
-    let Some(places) = view.services.get(&request.service) else {
+    let Some(slots) = view.services.get(&request.service) else {
         return LoadEstimate::default();
     };
-    let load = places.targets.load(&candidate.id);
-    let usual = places
+    let load = slots.targets.load(&candidate.id);
+    let typical_prompt_tokens = slots
         .targets
         .prefill
-        .map_or(0.0, |reading| reading.typical_prompt_tokens);
+        .map_or(0.0, |prefill| prefill.typical_prompt_tokens);
     LoadEstimate {
         requests: load.requests(now),
-        unread_tokens: load.unread_tokens(now, usual),
+        unread_tokens: load.unread_tokens(now, typical_prompt_tokens),
         report_age_ms: load.report_age(now),
     }
 }
--- a/crates/moleroad_gateway/src/agent/calls.rs
+++ b/crates/moleroad_gateway/src/agent/calls.rs
@@ -103,11 +103,11 @@
         let kind = HeaderValue::from_static(node.interface.document_type());
         headers.insert(CONTENT_TYPE, kind);
     }
-    let answerer = node.answerer_at(address);
+    let responder = node.responder_at(address);
     let response = connection.sender.send_request(message).await.ok()?;
     let (head, body) = response.into_parts();
     node.apply_notice(AnswerHead {
-        from: answerer,
+        from: responder,
         request: "-",
         sent_at: None,
         status: head.status,
--- a/crates/moleroad_gateway/src/agent/choice.rs
+++ b/crates/moleroad_gateway/src/agent/choice.rs
@@ -41,17 +41,17 @@
 /// known to have it in this region and in other regions.
 struct Holders {
     offers: Vec<SocketAddr>,
-    near: Vec<SocketAddr>,
-    far: Vec<SocketAddr>,
+    own_region: Vec<SocketAddr>,
+    other_regions: Vec<SocketAddr>,
 }
 
 impl Fetch {
     /// Returns the next piece to fetch and its source. At most `wave_size` pieces
     /// are fetched from other agents at the same time.
-    pub(super) fn next_piece(&mut self, at_once: usize) -> Option<(u32, PieceSource)> {
+    pub(super) fn next_piece(&mut self, wave_size: usize) -> Option<(u32, PieceSource)> {
         let in_flight = self.in_flight.values();
         let from_agents = in_flight.filter(|source| matches!(source, PieceSource::Agent(_)));
-        let may_ask_agents = from_agents.count() < at_once;
+        let may_ask_agents = from_agents.count() < wave_size;
         self.refresh_membership();
         let now = self.node.clock.now();
         let missing = self.missing();
@@ -70,14 +70,14 @@
                 continue;
             }
             let holders = self.holders(now, &others, &view.own.region, piece);
-            let known_at = (!holders.far.is_empty())
+            let known_at = (!holders.other_regions.is_empty())
                 .then(|| *self.far_holders_known_at.entry(piece).or_insert(now));
             let known = MissingPiece {
                 piece,
                 offered: !holders.offers.is_empty(),
                 announced_ms: self.announced_ms(now, piece),
-                near_holders: holders.near.len(),
-                far_holders: holders.far.len(),
+                near_holders: holders.own_region.len(),
+                far_holders: holders.other_regions.len(),
                 far_holders_known_ms: now.since(known_at.unwrap_or(now)),
             };
             let Some((kind, order)) = choose_source(known, &self.membership.trees, &conditions)
@@ -90,8 +90,12 @@
             }
             let source = match kind {
                 SourceKind::Offer => holders.offers.first().copied().map(PieceSource::Agent),
-                SourceKind::OwnRegion => random_address(&holders.near).map(PieceSource::Agent),
-                SourceKind::OtherRegions => random_address(&holders.far).map(PieceSource::Agent),
+                SourceKind::OwnRegion => {
+                    random_address(&holders.own_region).map(PieceSource::Agent)
+                }
+                SourceKind::OtherRegions => {
+                    random_address(&holders.other_regions).map(PieceSource::Agent)
+                }
                 SourceKind::Origin => {
                     let mut free = origins.iter().map(|origin| PieceSource::Origin(*origin));
                     free.find(|source| !self.is_backing_off(now, piece, *source))
@@ -207,8 +211,8 @@
         offers.retain(|address| !is_backing_off(address));
         let mut holders = Holders {
             offers,
-            near: Vec::new(),
-            far: Vec::new(),
+            own_region: Vec::new(),
+            other_regions: Vec::new(),
         };
         if !holders.offers.is_empty() {
             return holders;
@@ -219,9 +223,9 @@
                 continue;
             }
             if other.region == own_region {
-                holders.near.push(other.peer);
+                holders.own_region.push(other.peer);
             } else {
-                holders.far.push(other.peer);
+                holders.other_regions.push(other.peer);
             }
         }
         holders
@@ -232,8 +236,8 @@
     fn crosses_regions(&self, others: &[&DaemonRecord]) -> bool {
         let own_region = &self.node.settings.region;
         let is_far = |source: &PieceSource| {
-            let mut far = others.iter().filter(|other| other.region != *own_region);
-            far.any(|other| PieceSource::Agent(other.peer) == *source)
+            let mut remote = others.iter().filter(|other| other.region != *own_region);
+            remote.any(|other| PieceSource::Agent(other.peer) == *source)
         };
         self.in_flight.values().any(is_far)
     }
--- a/crates/moleroad_gateway/src/agent/cold.rs
+++ b/crates/moleroad_gateway/src/agent/cold.rs
@@ -2,7 +2,7 @@
 //!
 //! Entries that consider the engine cold request a grant before each send. The
 //! agent counts every grant, whether or not it considers the engine cold
-//! itself, since entries may know better. It reports what it knows of the
+//! itself, since an entry may have newer information. It reports what it knows of the
 //! engine's state to all entries that query the engine's load.
 
 use crate::node::Node;
@@ -15,8 +15,8 @@
 /// Longest time for which an engine counts as cold as reported by entries, in
 /// milliseconds: an entry may be wrong.
 const MAX_COLD_MS: u64 = 60_000;
-/// Time between two signs of life of this process above which it counts as
-/// suspended, in milliseconds. Longer than at entries: a sign of life comes
+/// Time between two records that this process is running above which it counts
+/// as suspended, in milliseconds. Longer than at entries: one record is made
 /// with each poll of the engine, and a poll without answer and the pause after
 /// it take nearly a second.
 const SUSPENSION_THRESHOLD_MS: u64 = 1_500;
@@ -98,12 +98,12 @@
             requests_per_s: request.requests_per_s,
             most_in_a_second: request.most_in_a_second,
         };
-        let Some(terms) = bound.bucket_params() else {
+        let Some(params) = bound.bucket_params() else {
             return GrantAnswer { is_given: false };
         };
-        let empty = TokenBucket::new(state.refill_from, terms);
+        let empty = TokenBucket::new(state.refill_from, params);
         let grants = state.grants.get_or_insert(empty);
-        grants.set_params(now, terms);
+        grants.set_params(now, params);
         let is_given = grants.take(now);
         state.asked += 1;
         state.given += u32::from(is_given);
--- a/crates/moleroad_gateway/src/agent/digests.rs
+++ b/crates/moleroad_gateway/src/agent/digests.rs
@@ -122,8 +122,8 @@
     idle_ms: u64,
 ) -> (Vec<SocketAddr>, bool, Vec<CatalogOrigin>) {
     let trees = trees_of(node, wanted);
-    let patience = TakeoverTimeouts::for_pieces(wanted.model.piece_bytes, node.settings.link_mbps);
-    let allowed = trees.allowed_sources(wanted.model.digests_part(), patience, idle_ms);
+    let timeouts = TakeoverTimeouts::for_pieces(wanted.model.piece_bytes, node.settings.link_mbps);
+    let allowed = trees.allowed_sources(wanted.model.digests_part(), timeouts, idle_ms);
     let view = node.view();
     let own = &view.own;
     let others = live_agents(&view, node.clock.now());
--- a/crates/moleroad_gateway/src/agent/superseded.rs
+++ b/crates/moleroad_gateway/src/agent/superseded.rs
@@ -28,7 +28,7 @@
         self.superseded_fetch().should_abandon()
     }
 
-    /// Collects what this agent knows of this version and of newer ones.
+    /// Collects the progress known to this agent of this version and of newer ones.
     fn superseded_fetch(&self) -> SupersededFetch {
         let now = self.node.clock.now();
         let missing = self.missing();
--- a/crates/moleroad_gateway/src/agent/switch.rs
+++ b/crates/moleroad_gateway/src/agent/switch.rs
@@ -212,14 +212,14 @@
 /// version's deadline.
 fn wave_plan(node: &Node, wanted: &WantedVersion, engines: usize) -> WavePlan {
     let model = &wanted.model;
-    let turn_ms = model.usual_request_ms + LOAD_MS;
+    let outage_ms = model.usual_request_ms + LOAD_MS;
     let bits = model.piece_bytes as f64 * f64::from(model.pieces) * 8.0;
     let copy_ms = bits / (node.settings.link_mbps.max(0.1) * 1_000.0);
     let last_ms = node.settings.bounds.version_ms;
     WavePlan {
         engines,
-        outage_ms: turn_ms,
+        outage_ms,
         earliest_start_ms: (copy_ms * COPY_TIME_RATIO) as u64,
-        latest_start_ms: last_ms.saturating_sub(turn_ms + SAFETY_MARGIN_MS),
+        latest_start_ms: last_ms.saturating_sub(outage_ms + SAFETY_MARGIN_MS),
     }
 }
--- a/crates/moleroad_gateway/src/agent/watch.rs
+++ b/crates/moleroad_gateway/src/agent/watch.rs
@@ -74,7 +74,7 @@
     })
 }
 
-/// Returns whether the engine holds weights, as far as its report tells, and is
+/// Returns whether the engine holds weights, according to its last report, and is
 /// not switching versions. Always false if [`Mechanism::YieldingPieces`] is
 /// disabled.
 pub fn serves(node: &Node) -> bool {
--- a/crates/moleroad_gateway/src/candidates.rs
+++ b/crates/moleroad_gateway/src/candidates.rs
@@ -81,20 +81,19 @@
         }
         for (name, candidates) in lists {
             let bounds = &settings.bounds;
-            let places = self
+            let slots = self
                 .services
                 .entry(name.to_string())
                 .or_insert_with(|| ServiceSlots::new(bounds));
-            places.targets.prefill = table
+            slots.targets.prefill = table
                 .service(name)
                 .and_then(|service| reading_speed(service));
-            places.targets.ignores_failures =
-                !settings.experiments.is_enabled(Mechanism::Avoidance);
-            places.targets.set(candidates);
+            slots.targets.ignores_failures = !settings.experiments.is_enabled(Mechanism::Avoidance);
+            slots.targets.set(candidates);
         }
         self.update_arrivals(now, &table);
         self.services
-            .retain(|name, places| table.service(name).is_some() || !places.is_idle());
+            .retain(|name, slots| table.service(name).is_some() || !slots.is_idle());
     }
 
     /// Returns whether requests may currently go to the target only with a grant.
@@ -103,9 +102,9 @@
         let Some(cold) = cold.filter(|cold| cold.requires_grant) else {
             return false;
         };
-        let places = self.services.get(service);
-        places.map_or(cold.until > now, |places| {
-            places.targets.cold_until(now, candidate).is_some()
+        let slots = self.services.get(service);
+        slots.map_or(cold.until > now, |slots| {
+            slots.targets.cold_until(now, candidate).is_some()
         })
     }
 
@@ -119,23 +118,23 @@
             };
             let named = self.named.get(&model.name).and_then(|named| named.newest());
             let held = self.max_pieces_held(&service.name, &model.name, named.unwrap_or(0));
-            if let Some(places) = self.services.get_mut(&service.name) {
-                places.arrival.note(now, held, model.pieces);
+            if let Some(slots) = self.services.get_mut(&service.name) {
+                slots.arrival.note(now, held, model.pieces);
                 let bits = model.piece_bytes as f64 * 8.0;
-                places.piece_ms = bits / (fastest_kbps as f64).max(1.0);
+                slots.piece_ms = bits / (fastest_kbps as f64).max(1.0);
             }
         }
     }
 
-    /// Returns the largest number of pieces of version `least` or later that an agent of
-    /// the service holds, ignoring agents in evacuated halls.
-    fn max_pieces_held(&self, service: &str, model: &str, least: u64) -> u32 {
+    /// Returns the largest number of pieces of version `min_version` or later that an
+    /// agent of the service holds, ignoring agents in evacuated halls.
+    fn max_pieces_held(&self, service: &str, model: &str, min_version: u64) -> u32 {
         let daemons = self.directory.daemons().map(|observed| &observed.record);
         let agents = daemons.filter(|record| {
             record.service.as_deref() == Some(service) && !self.is_evacuated(&record.hall)
         });
         let maps = agents.flat_map(|agent| &agent.pieces);
-        let matching = maps.filter(|map| map.model == model && map.version >= least);
+        let matching = maps.filter(|map| map.model == model && map.version >= min_version);
         matching.map(PieceMap::count).max().unwrap_or(0)
     }
 }
@@ -186,7 +185,7 @@
         Distance::OtherRegion
     };
     let pace_report = report.filter(|_| settings.experiments.is_enabled(Mechanism::Slowness));
-    let pace = pace_report.map_or(1.0, |report| f64::from(report.pace));
+    let slowness = pace_report.map_or(1.0, |report| f64::from(report.pace));
     Some(Candidate {
         id: record.id.clone(),
         address: record.address,
@@ -202,7 +201,7 @@
         evacuated,
         version,
         switching: report.is_some_and(|report| report.switching),
-        slowness: pace,
+        slowness,
         agent: None,
         cold: None,
         limit: None,
--- a/crates/moleroad_gateway/src/clock.rs
+++ b/crates/moleroad_gateway/src/clock.rs
@@ -9,7 +9,7 @@
 
 /// A monotonic clock in milliseconds. Unlike `CLOCK_MONOTONIC` it includes the
 /// time during which the machine is suspended: otherwise leases, deadlines and
-/// ages would be too young by that time, and a suspension of the process could
+/// ages would be too short by that time, and a suspension of the process could
 /// not be detected.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
--- a/crates/moleroad_gateway/src/control_member/mod.rs
+++ b/crates/moleroad_gateway/src/control_member/mod.rs
@@ -1,5 +1,5 @@
 //! The local member of the control group. A dedicated thread owns the consensus
-//! replica and its disk, so that a slow disk blocks nothing else in the
+//! replica and its disk, so that a slow disk blocks no other part of the
 //! process.
 
 mod member;
@@ -115,7 +115,7 @@
             settings.instance.as_str(),
             settings.address,
         );
-        let has_old_state = restored.snapshot.is_some() || !restored.entries.is_empty();
+        let has_stored_state = restored.snapshot.is_some() || !restored.entries.is_empty();
         let (input, inputs) = channel();
         let founding = settings.founding.clone();
         let mut member = MemberThread::new(settings, own.clone(), clock, output, storage, restored);
@@ -129,7 +129,7 @@
         Ok(Self {
             input,
             own,
-            has_stored_state: has_old_state,
+            has_stored_state,
         })
     }
 
--- a/crates/moleroad_gateway/src/evacuations.rs
+++ b/crates/moleroad_gateway/src/evacuations.rs
@@ -41,7 +41,8 @@
     Changed,
     /// The hall was already in the requested state.
     AlreadySo,
-    /// The hall is in the other state because of a change that the order did not know.
+    /// The hall is in the other state because of a change after the revision on which the order is
+    /// based.
     Overtaken,
 }
 
--- a/crates/moleroad_gateway/src/experiments.rs
+++ b/crates/moleroad_gateway/src/experiments.rs
@@ -10,12 +10,12 @@
 pub enum Mechanism {
     /// Entries query agents for the load of their engines before a send.
     AskedAgents,
-    /// Entries divide the last free places of a target among them.
+    /// Entries divide the last free slots of a target among them.
     SharedPlaces,
-    /// A request waits for a place for a share of its target latency.
+    /// A request waits for a slot for a share of its target latency.
     Waiting,
     /// Requests that can no longer meet their target latency wait to be served late if
-    /// a place is expected.
+    /// a slot is expected.
     HeldOverdue,
     /// Failing targets are avoided for some time.
     Avoidance,
--- a/crates/moleroad_gateway/src/front/attempt.rs
+++ b/crates/moleroad_gateway/src/front/attempt.rs
@@ -20,7 +20,7 @@
 /// Interval between checks whether a silent target's request can move to another
 /// target.
 pub const RETARGET_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Maximum number of times that a request gives a place back because no connection
+/// Maximum number of times that a request gives a slot back because no connection
 /// could be opened or a grant expired.
 const MAX_UNREACHABLE: usize = 4;
 
@@ -31,7 +31,7 @@
     pub request: Arc<AcceptedRequest>,
     pub(super) tried: Vec<TargetId>,
     pub(super) sends: Sends,
-    /// Number of places given back because no connection could be opened or a
+    /// Number of slots given back because no connection could be opened or a
     /// grant expired; limits how often the request tries again.
     pub(super) unreachable: usize,
     pub(super) may_have_run: bool,
@@ -56,8 +56,8 @@
 
 /// A send whose target has begun to answer.
 pub struct RunningSend {
-    /// The place at the target, which records the outcome of the send.
-    pub place: ReservedSlot,
+    /// The slot at the target, which records the outcome of the send.
+    pub slot: ReservedSlot,
     /// The head of the answer.
     pub reply: Reply,
 }
@@ -103,40 +103,40 @@
     /// Returns the reason why no further send is made.
     pub async fn next_run(&mut self, last_event: Option<&Bytes>) -> Result<RunningSend, GiveUp> {
         loop {
-            let next = self.next_place().await;
+            let next = self.next_slot().await;
             if let Err(GiveUp::NoPlace(no_place)) = &next {
                 self.log_no_place(no_place);
             }
-            let mut place = next?;
-            let least = {
+            let mut slot = next?;
+            let min_version = {
                 let view = self.node.view();
                 self.node.min_version(&view, &self.request.service)
             };
             self.last = Some(LastSend {
-                target: place.candidate.id.clone(),
+                target: slot.candidate.id.clone(),
                 send: self.sends() + 1,
                 waited_ms: self.node.clock.now().since(self.request.arrived),
-                load_estimate: place.load_estimate,
-                weights: place.candidate.version.unwrap_or(0),
+                load_estimate: slot.load_estimate,
+                weights: slot.candidate.version.unwrap_or(0),
             });
-            self.tried.push(place.candidate.id.clone());
-            place.record_send(self.request.fingerprint, self.request.until);
-            let sent = self.send(&place, least, last_event).await;
-            self.log_send(&place, &sent);
+            self.tried.push(slot.candidate.id.clone());
+            slot.record_send(self.request.fingerprint, self.request.until);
+            let sent = self.send(&slot, min_version, last_event).await;
+            self.log_send(&slot, &sent);
             if sent.as_ref().is_err_and(|error| error.is_not_sent()) {
-                place.clear_send();
+                slot.clear_send();
             }
             match sent {
                 Err(SendError::Unreachable) => {
-                    place.set_outcome(Outcome::Unreachable);
-                    self.node.pool.forget(place.candidate.address);
+                    slot.set_outcome(Outcome::Unreachable);
+                    self.node.pool.forget(slot.candidate.address);
                     self.unreachable += 1;
                     if self.unreachable >= MAX_UNREACHABLE {
                         return Err(GiveUp::NoRetry);
                     }
                 }
                 Err(SendError::Expired) => {
-                    place.set_outcome(Outcome::Abandoned);
+                    slot.set_outcome(Outcome::Abandoned);
                     self.tried.pop();
                     self.unreachable += 1;
                     if self.unreachable >= MAX_UNREACHABLE {
@@ -153,16 +153,16 @@
                     self.sends.reached_target();
                     self.may_have_run = true;
                     if error == SendError::Broken {
-                        self.record_break(&place, Progress::NoHead);
+                        self.record_break(&slot, Progress::NoHead);
                     }
-                    place.set_outcome(Outcome::Broken);
+                    slot.set_outcome(Outcome::Broken);
                     if !self.is_idempotent() {
                         return Err(GiveUp::NoRetry);
                     }
                 }
                 Ok(reply) => {
                     self.sends.reached_target();
-                    match self.take_head(place, reply).await {
+                    match self.take_head(slot, reply).await {
                         Some(running) => return Ok(running),
                         None if self.may_have_run && !self.is_idempotent() => {
                             return Err(GiveUp::NoRetry);
@@ -176,15 +176,11 @@
 
     /// Handles the head of an answer; returns `None` if another target may be
     /// tried.
-    async fn take_head(
-        &mut self,
-        mut place: ReservedSlot,
-        mut reply: Reply,
-    ) -> Option<RunningSend> {
+    async fn take_head(&mut self, mut slot: ReservedSlot, mut reply: Reply) -> Option<RunningSend> {
         match reply.class {
-            ReplyClass::Succeeded | ReplyClass::Final => Some(RunningSend { place, reply }),
+            ReplyClass::Succeeded | ReplyClass::Final => Some(RunningSend { slot, reply }),
             ReplyClass::Rejected => {
-                place.set_outcome(Outcome::Rejected);
+                slot.set_outcome(Outcome::Rejected);
                 let whole = reply.read_whole_body(&self.node, self.request.until).await;
                 if whole.is_ok() {
                     reply.keep_connection(&self.node);
@@ -193,14 +189,14 @@
             }
             ReplyClass::Failed => {
                 self.may_have_run = true;
-                place.set_outcome(Outcome::Failed);
+                slot.set_outcome(Outcome::Failed);
                 match reply.read_whole_body(&self.node, self.request.until).await {
                     Ok(body) => self.failed_reply = Some((reply, body)),
                     Err(error) => {
                         if error == SendError::Broken {
-                            self.record_break(&place, Progress::PartOfBody);
+                            self.record_break(&slot, Progress::PartOfBody);
                         }
-                        place.set_outcome(Outcome::Broken);
+                        slot.set_outcome(Outcome::Broken);
                     }
                 }
                 None
@@ -216,13 +212,13 @@
         }
         let now = self.node.clock.now();
         let mut view = self.node.view();
-        let least = self.node.min_version(&view, &self.request.service);
+        let min_version = self.node.min_version(&view, &self.request.service);
         let entries = view.entry_count(now);
         let residency = view.residency(&self.request.residency);
         let needs = Requirements {
             now,
             tried: &self.tried,
-            min_version: least,
+            min_version,
             prompt_tokens: self.request.prompt_tokens,
             first_event_within_ms: None,
             reserved_slots: 0,
@@ -230,10 +226,10 @@
         };
         view.services
             .get_mut(&self.request.service)
-            .is_some_and(|places| {
-                places.budget.has_room(now, entries)
-                    && places.waiting() == 0
-                    && matches!(places.targets.choose(now, needs, 0), Choice::Send(_))
+            .is_some_and(|slots| {
+                slots.budget.has_room(now, entries)
+                    && slots.waiting() == 0
+                    && matches!(slots.targets.choose(now, needs, 0), Choice::Send(_))
             })
     }
 
@@ -242,13 +238,13 @@
     /// another target could take the request.
     async fn send(
         &self,
-        place: &ReservedSlot,
-        least: Option<u64>,
+        slot: &ReservedSlot,
+        min_version: Option<u64>,
         last_event: Option<&Bytes>,
     ) -> Result<Reply, SendError> {
         let request = &self.request;
         let until = request.until;
-        let sending = exchange::send(&self.node, request, place, least, last_event, until);
+        let sending = exchange::send(&self.node, request, slot, min_version, last_event, until);
         if !request.route.streaming {
             return sending.await;
         }
@@ -259,7 +255,7 @@
             loop {
                 tokio::time::sleep(RETARGET_CHECK_INTERVAL).await;
                 let is_silent = began.elapsed() >= timeout && self.can_retarget(self.sends() + 1);
-                if is_silent || self.is_start_forbidden(place) {
+                if is_silent || self.is_start_forbidden(slot) {
                     return;
                 }
             }
@@ -275,11 +271,12 @@
     /// there any more, because the target's weights are too old by now or the
     /// request was quarantined after other targets ended while running it. Most
     /// targets drop a queued request when its connection closes.
-    pub fn is_start_forbidden(&self, place: &ReservedSlot) -> bool {
+    pub fn is_start_forbidden(&self, slot: &ReservedSlot) -> bool {
         let view = self.node.view();
-        let least = self.node.min_version(&view, &self.request.service);
-        let version = place.candidate.version;
-        let is_outdated = least.is_some_and(|least| version.is_some_and(|version| version < least));
+        let min_version = self.node.min_version(&view, &self.request.service);
+        let version = slot.candidate.version;
+        let is_outdated = min_version
+            .is_some_and(|min_version| version.is_some_and(|version| version < min_version));
         let left_ms = self.node.hold_left_ms(&view, &self.request.fingerprint);
         is_outdated || (left_ms.is_some() && !self.request.is_trial)
     }
--- a/crates/moleroad_gateway/src/front/attempt_log.rs
+++ b/crates/moleroad_gateway/src/front/attempt_log.rs
@@ -8,7 +8,7 @@
 use moleroad_types::prelude::Millis;
 
 impl Attempts {
-    /// Logs why there is no place, and the known state of the targets.
+    /// Logs why there is no slot, and the known state of the targets.
     pub(super) fn log_no_place(&self, no_place: &NoPlace) {
         match no_place.cause {
             NoPlaceCause::Busy
@@ -87,8 +87,8 @@
     }
 
     /// Counts a send by outcome, and logs it unless it was answered.
-    pub(super) fn log_send(&self, place: &ReservedSlot, sent: &Result<Reply, SendError>) {
-        let candidate = &place.candidate;
+    pub(super) fn log_send(&self, slot: &ReservedSlot, sent: &Result<Reply, SendError>) {
+        let candidate = &slot.candidate;
         let outcome = match sent {
             Ok(reply) => match reply.class {
                 ReplyClass::Succeeded => "answered",
@@ -108,7 +108,7 @@
             return;
         }
         let now = self.node.clock.now();
-        let estimate = place.load_estimate;
+        let estimate = slot.load_estimate;
         log::info!(
             event = "send",
             request = self.request.id.to_str().unwrap_or("-"),
--- a/crates/moleroad_gateway/src/front/broken_sends.rs
+++ b/crates/moleroad_gateway/src/front/broken_sends.rs
@@ -6,7 +6,7 @@
 /// How much of the answer had arrived when the connection broke.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// Nothing.
+    /// Neither head nor body.
     NoHead,
     /// The head of a stream, but no event.
     NoEvent,
@@ -18,20 +18,20 @@
 
 impl Attempts {
     /// Records that the target or the link broke the connection of a send.
-    pub(super) fn record_break(&self, place: &ReservedSlot, progress: Progress) {
+    pub(super) fn record_break(&self, slot: &ReservedSlot, progress: Progress) {
         self.node.metrics.count("request_broke");
         log::info!(
             event = "request_broke",
             request = self.request.id.to_str().unwrap_or("-"),
             fingerprint:% = self.request.fingerprint,
-            target:% = place.candidate.id,
+            target:% = slot.candidate.id,
             progress:? = progress,
             sends = self.sends(),
             elapsed_ms = self.node.clock.now().since(self.request.arrived);
             ""
         );
-        let address = place.candidate.address;
+        let address = slot.candidate.address;
         self.node
-            .handle_request_break(place.life.clone(), address, self.request.fingerprint);
+            .handle_request_break(slot.incarnation.clone(), address, self.request.fingerprint);
     }
 }
--- a/crates/moleroad_gateway/src/front/buffered.rs
+++ b/crates/moleroad_gateway/src/front/buffered.rs
@@ -29,18 +29,18 @@
         match running.reply.read_whole_body(node, until).await {
             Ok(body) => {
                 if running.reply.class == ReplyClass::Succeeded {
-                    node.note_success(attempts.request.fingerprint);
+                    node.record_success(attempts.request.fingerprint);
                 }
-                running.place.set_outcome(Outcome::Answered);
+                running.slot.set_outcome(Outcome::Answered);
                 let answer = forwarded_answer(&running.reply, AnswerBody::Whole(Some(body)));
                 running.reply.keep_connection(node);
                 return answer;
             }
             Err(error) => {
                 if error == SendError::Broken {
-                    attempts.record_break(&running.place, Progress::PartOfBody);
+                    attempts.record_break(&running.slot, Progress::PartOfBody);
                 }
-                running.place.set_outcome(Outcome::Broken);
+                running.slot.set_outcome(Outcome::Broken);
                 attempts.record_broken_answer();
                 if !attempts.is_idempotent() {
                     return attempts.give_up(GiveUp::NoRetry);
--- a/crates/moleroad_gateway/src/front/exchange.rs
+++ b/crates/moleroad_gateway/src/front/exchange.rs
@@ -76,7 +76,7 @@
     pub connection: Connection,
 }
 
-/// Sends `request` to the target of `place` and waits for the head of the answer.
+/// Sends `request` to the target of `slot` and waits for the head of the answer.
 ///
 /// # Errors
 /// Returns a [`SendError`]. With [`SendError::Unreachable`],
@@ -85,12 +85,12 @@
 pub async fn send(
     node: &Node,
     request: &AcceptedRequest,
-    place: &ReservedSlot,
+    slot: &ReservedSlot,
     min_version: Option<u64>,
     last_event: Option<&Bytes>,
     until: Millis,
 ) -> Result<Reply, SendError> {
-    let candidate = &place.candidate;
+    let candidate = &slot.candidate;
     let mut message = build(node, request, candidate, min_version, last_event)?;
     let limit = node.clock.instant(until);
     let mut kept = node.pool.take(candidate.address);
@@ -131,7 +131,7 @@
             Ok(Ok(response)) => {
                 // An answer to another request also counts: the target sent it.
                 node.apply_notice(AnswerHead {
-                    from: place.responder(),
+                    from: slot.responder(),
                     request: request.id.to_str().unwrap_or("-"),
                     sent_at: is_answer_to(node, request, response.headers()).then_some(sent_at),
                     status: response.status(),
@@ -169,8 +169,8 @@
         regions: Some(residency.allowed()),
         ..Requirements::default()
     };
-    let places = view.services.get(&request.service);
-    let known = places.and_then(|places| places.targets.candidate(&chosen.id));
+    let slots = view.services.get(&request.service);
+    let known = slots.and_then(|slots| slots.targets.candidate(&chosen.id));
     known.is_none_or(|known| exclusion(known, needs).is_some())
 }
 
--- a/crates/moleroad_gateway/src/front/give_up.rs
+++ b/crates/moleroad_gateway/src/front/give_up.rs
@@ -52,8 +52,8 @@
             }
             GiveUp::DeadlinePassed => EntryError::DeadlinePassedNotRun.response(Some(0)),
             GiveUp::NoRetry => {
-                let ask = self.ask();
-                let back_in_ms = rejected_retry_ms(&self.node, &self.node.view(), &ask);
+                let slot_request = self.slot_request();
+                let back_in_ms = rejected_retry_ms(&self.node, &self.node.view(), &slot_request);
                 EntryError::RejectedByTargets.response(Some(back_in_ms))
             }
         }
--- a/crates/moleroad_gateway/src/front/mod.rs
+++ b/crates/moleroad_gateway/src/front/mod.rs
@@ -5,7 +5,7 @@
 //! - [`request`] reads and validates a request.
 //! - [`attempt`] sends a request, with retries, until it has an answer.
 //! - [`sends`] tracks the number of sends and what was already counted.
-//! - `waiting` decides how long a request waits for a place.
+//! - `waiting` decides how long a request waits for a slot.
 //! - [`exchange`] performs one send over a connection of the [`pool`].
 //! - [`connect`] opens a connection, with a hedge against packet loss.
 //! - `broken_sends` records sends whose connection broke.
--- a/crates/moleroad_gateway/src/front/sends.rs
+++ b/crates/moleroad_gateway/src/front/sends.rs
@@ -1,9 +1,9 @@
 //! Counts the sends of a request, and ensures that per-request statistics are
 //! recorded once.
 //!
-//! A place may be given back before anything is sent, because no connection could
+//! A slot may be given back before anything is sent, because no connection could
 //! be opened or the target became ineligible in the meantime. The request then
-//! acquires another place, but must not be counted again.
+//! acquires another slot, but must not be counted again.
 
 /// Number of sends of a request, and which statistics already include it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -43,13 +43,13 @@
     }
 
     /// Returns true on the first call before the first send reaches a target. The
-    /// caller then counts whether a place was found in time.
+    /// caller then counts whether a slot was found in time.
     pub fn claim_in_time_count(&mut self) -> bool {
         self.made == 0 && !std::mem::replace(&mut self.counted_in_time, true)
     }
 
     /// Returns true on the first call before the first send reaches a target. The
-    /// caller then counts the first place.
+    /// caller then counts the first slot.
     pub fn claim_first_count(&mut self) -> bool {
         self.made == 0 && !std::mem::replace(&mut self.counted_first, true)
     }
--- a/crates/moleroad_gateway/src/front/stream.rs
+++ b/crates/moleroad_gateway/src/front/stream.rs
@@ -61,21 +61,21 @@
         }
         match first_events(node, &attempts, &mut running, &mut splitter).await {
             FirstEvents::Events(events) => {
-                running.place.mark_prompt_read();
+                running.slot.mark_prompt_read();
                 return start_relay(node, attempts, running, splitter, events);
             }
             FirstEvents::Complete => {
-                node.note_success(attempts.request.fingerprint);
-                running.place.set_outcome(Outcome::Answered);
+                node.record_success(attempts.request.fingerprint);
+                running.slot.set_outcome(Outcome::Answered);
                 let answer = forwarded_answer(&running.reply, AnswerBody::Whole(None));
                 running.reply.keep_connection(node);
                 return answer;
             }
             FirstEvents::Broken(by) => {
                 if by == BrokenBy::Target {
-                    attempts.record_break(&running.place, Progress::NoEvent);
+                    attempts.record_break(&running.slot, Progress::NoEvent);
                 }
-                running.place.set_outcome(Outcome::Broken);
+                running.slot.set_outcome(Outcome::Broken);
                 attempts.record_broken_answer();
                 splitter.discard_partial_event();
                 if !attempts.is_idempotent() {
@@ -93,16 +93,16 @@
         .await
     {
         Ok(body) => {
-            running.place.set_outcome(Outcome::Answered);
+            running.slot.set_outcome(Outcome::Answered);
             let answer = forwarded_answer(&running.reply, AnswerBody::Whole(Some(body)));
             running.reply.keep_connection(node);
             answer
         }
         Err(error) => {
             if error == SendError::Broken {
-                attempts.record_break(&running.place, Progress::PartOfBody);
+                attempts.record_break(&running.slot, Progress::PartOfBody);
             }
-            running.place.set_outcome(Outcome::Broken);
+            running.slot.set_outcome(Outcome::Broken);
             EntryError::Broken.response(None)
         }
     }
@@ -114,7 +114,7 @@
     let view = node.view();
     let agent = view
         .directory
-        .agent_for_engine(running.place.candidate.address);
+        .agent_for_engine(running.slot.candidate.address);
     let report = agent.and_then(|agent| agent.record.report.as_ref());
     if report.is_some_and(|report| report.switching) {
         Outcome::Abandoned
@@ -145,7 +145,7 @@
             Err(_) => {
                 let now = Instant::now();
                 let is_silent = now >= silent_at && attempts.can_retarget(attempts.sends());
-                if now >= until || is_silent || attempts.is_start_forbidden(&running.place) {
+                if now >= until || is_silent || attempts.is_start_forbidden(&running.slot) {
                     return FirstEvents::Broken(BrokenBy::Entry);
                 }
             }
@@ -211,8 +211,8 @@
             let end = self.forward_events(&mut running).await;
             match end {
                 StreamEnd::Complete => {
-                    self.node.note_success(self.attempts.request.fingerprint);
-                    running.place.set_outcome(Outcome::Answered);
+                    self.node.record_success(self.attempts.request.fingerprint);
+                    running.slot.set_outcome(Outcome::Answered);
                     running.reply.keep_connection(&self.node);
                     return self.log_end("complete");
                 }
@@ -221,10 +221,10 @@
                 StreamEnd::Broken(by) => {
                     if by == BrokenBy::Target {
                         self.attempts
-                            .record_break(&running.place, Progress::SomeEvents);
+                            .record_break(&running.slot, Progress::SomeEvents);
                     }
                     running
-                        .place
+                        .slot
                         .set_outcome(broken_outcome(&self.node, &running));
                     drop(running);
                     self.attempts.record_broken_answer();
--- a/crates/moleroad_gateway/src/front/waiting.rs
+++ b/crates/moleroad_gateway/src/front/waiting.rs
@@ -1,4 +1,4 @@
-//! Acquires a place for each send: first within the time in which the target
+//! Acquires a slot for each send: first within the time in which the target
 //! latency can still be met, then, if worthwhile, to be served late (overdue).
 
 use crate::acquire::{ReservedSlot, acquire};
@@ -11,7 +11,7 @@
 use moleroad_dispatch::prelude::WaitClass;
 use moleroad_types::prelude::Millis;
 
-/// Share of the target latency that a request may spend waiting for a place.
+/// Share of the target latency that a request may spend waiting for a slot.
 const WAIT_SHARE: f64 = 0.22;
 /// Time that an overdue request needs from its send until the caller receives the
 /// first event, in milliseconds: the engine reads the prompt in parallel with
@@ -24,11 +24,11 @@
 pub const MIN_SEND_BUDGET_MS: u64 = 60;
 
 impl Attempts {
-    /// Acquires a place for the next send.
+    /// Acquires a slot for the next send.
     ///
     /// # Errors
     /// Returns the reason why no further send is made.
-    pub(super) async fn next_place(&mut self) -> Result<ReservedSlot, GiveUp> {
+    pub(super) async fn next_slot(&mut self) -> Result<ReservedSlot, GiveUp> {
         self.node.catch_up_after_suspension().await;
         let now = self.node.clock.now();
         if now + MIN_SEND_BUDGET_MS > self.request.until {
@@ -44,53 +44,58 @@
             }
             self.sends.took_repeat();
         }
-        let ask = self.ask();
+        let slot_request = self.slot_request();
         let is_first = self.sends.is_first();
         if is_first && self.unreachable == 0 {
-            self.node.count_diversions(&ask);
+            self.node.count_diversions(&slot_request);
         }
-        let in_time = self.acquire_past_quarantine(&ask).await;
-        let lacks_room = |no_place: &NoPlace| no_place.cause == NoPlaceCause::Busy;
-        let is_about_room = in_time.as_ref().err().is_none_or(lacks_room);
-        let rests = |no_place: &NoPlace| no_place.cause == NoPlaceCause::Resting;
-        let may_be_late = is_about_room || in_time.as_ref().err().is_some_and(rests);
-        if is_about_room && self.sends.claim_in_time_count() {
-            self.note_in_time(in_time.is_ok());
+        let in_time = self.acquire_past_quarantine(&slot_request).await;
+        let is_busy = |no_place: &NoPlace| no_place.cause == NoPlaceCause::Busy;
+        let lacks_slots = in_time.as_ref().err().is_none_or(is_busy);
+        let is_backing_off = |no_place: &NoPlace| no_place.cause == NoPlaceCause::Resting;
+        let may_be_late = lacks_slots || in_time.as_ref().err().is_some_and(is_backing_off);
+        if lacks_slots && self.sends.claim_in_time_count() {
+            self.record_in_time(in_time.is_ok());
         }
-        let place = match in_time {
-            Ok(place) => place,
-            Err(no_place) if is_first && may_be_late => self.overdue_place(ask, no_place).await?,
+        let slot = match in_time {
+            Ok(slot) => slot,
+            Err(no_place) if is_first && may_be_late => {
+                self.overdue_slot(slot_request, no_place).await?
+            }
             Err(no_place) => return Err(GiveUp::NoPlace(no_place)),
         };
         if self.sends.claim_first_count() {
-            self.note_first_send();
+            self.record_first_send();
             let waited = self.node.clock.now().since(self.request.arrived);
             self.node.metrics.wait_s.observe(waited as f64 / 1_000.0);
         }
-        Ok(place)
+        Ok(slot)
     }
 
-    /// Acquires a place; tries once more if the request was quarantined while it
+    /// Acquires a slot; tries once more if the request was quarantined while it
     /// waited and the quarantine was lifted.
-    async fn acquire_past_quarantine(&self, ask: &PlaceRequest) -> Result<ReservedSlot, NoPlace> {
-        let first = acquire(&self.node, ask).await;
+    async fn acquire_past_quarantine(
+        &self,
+        slot_request: &PlaceRequest,
+    ) -> Result<ReservedSlot, NoPlace> {
+        let first = acquire(&self.node, slot_request).await;
         if !matches!(&first, Err(no_place) if no_place.cause == NoPlaceCause::Quarantined) {
             return first;
         }
         if self
             .node
-            .wait_for_hold_decision(&ask.fingerprint, ask.until)
+            .wait_for_hold_decision(&slot_request.fingerprint, slot_request.until)
             .await
         {
             return first;
         }
-        acquire(&self.node, ask).await
+        acquire(&self.node, slot_request).await
     }
 
-    /// Returns the requirements for a place that meets the target latency. A
+    /// Returns the requirements for a slot that meets the target latency. A
     /// request that was sent before has already used a target's capacity: it gets
     /// the highest priority and may wait until its deadline.
-    pub(super) fn ask(&self) -> PlaceRequest {
+    pub(super) fn slot_request(&self) -> PlaceRequest {
         let request = &self.request;
         let is_first = self.sends.is_first();
         let latency_ms = request.route.target_latency_ms;
@@ -110,80 +115,80 @@
             } else {
                 MOST_URGENT
             },
-            wanted_by: is_first.then(|| request.arrived + latency_ms),
+            latency_deadline: is_first.then(|| request.arrived + latency_ms),
             until: until.min(Millis(request.until.0 - MIN_SEND_BUDGET_MS)),
-            line: WaitClass::InTime,
+            class: WaitClass::InTime,
             residency: self.node.view().residency(&request.residency),
             fingerprint: request.fingerprint,
             is_trial: request.is_trial && is_first,
         }
     }
 
-    /// Returns how long a request waits for a place that meets the target latency,
+    /// Returns how long a request waits for a slot that meets the target latency,
     /// in milliseconds.
     fn in_time_wait_ms(&self) -> u64 {
-        let waits = self
+        let is_enabled = self
             .node
             .settings
             .experiments
             .is_enabled(Mechanism::Waiting);
-        let share = if waits { WAIT_SHARE } else { 0.0 };
+        let share = if is_enabled { WAIT_SHARE } else { 0.0 };
         (self.request.route.target_latency_ms as f64 * share) as u64
     }
 
-    /// Waits for a place to be served late, if one is expected before the caller
+    /// Waits for a slot to be served late, if one is expected before the caller
     /// disconnects. A late answer is better for the caller than a refusal, since
     /// its time already runs when it retries.
-    async fn overdue_place(
+    async fn overdue_slot(
         &self,
         in_time: PlaceRequest,
         no_place: NoPlace,
     ) -> Result<ReservedSlot, GiveUp> {
-        let held = self
+        let is_enabled = self
             .node
             .settings
             .experiments
             .is_enabled(Mechanism::HeldOverdue);
-        let leaves_at =
+        let disconnects_at =
             self.request.arrived + silence_timeouts::caller_timeout_ms(&self.request.route);
-        let until = leaves_at.min(self.request.until);
+        let until = disconnects_at.min(self.request.until);
         let last_send = Millis(until.0.saturating_sub(OVERDUE_ANSWER_MS));
         let now = self.node.clock.now();
         let expected_ms = self.node.expected_wait_ms(&in_time);
-        let comes = expected_ms.is_some_and(|wait_ms| now + wait_ms <= last_send);
-        if !held || !comes {
+        let is_in_time = expected_ms.is_some_and(|wait_ms| now + wait_ms <= last_send);
+        if !is_enabled || !is_in_time {
             return Err(GiveUp::NoPlace(no_place));
         }
-        let ask = PlaceRequest {
-            wanted_by: None,
+        let slot_request = PlaceRequest {
+            latency_deadline: None,
             until: last_send,
-            line: WaitClass::Overdue,
+            class: WaitClass::Overdue,
             ..in_time
         };
         self.log_held(now, last_send, expected_ms);
-        let place = acquire(&self.node, &ask).await;
-        place.map_err(GiveUp::NoPlace)
+        let slot = acquire(&self.node, &slot_request).await;
+        slot.map_err(GiveUp::NoPlace)
     }
 
-    fn note_in_time(&self, is_placed: bool) {
+    fn record_in_time(&self, found_slot: bool) {
         let mut view = self.node.view();
-        if let Some(places) = view.services.get_mut(&self.request.service) {
-            places.record_in_time_outcome(is_placed);
+        if let Some(slots) = view.services.get_mut(&self.request.service) {
+            slots.record_in_time_outcome(found_slot);
         }
     }
 
-    fn note_first_send(&self) {
+    fn record_first_send(&self) {
         let now = self.node.clock.now();
         let mut view = self.node.view();
-        if let Some(places) = view.services.get_mut(&self.request.service) {
-            places.budget.note_request(now);
+        if let Some(slots) = view.services.get_mut(&self.request.service) {
+            slots.budget.note_request(now);
         }
     }
 
     fn take_repeat(&self, now: Millis) -> bool {
         let mut view = self.node.view();
         let entries = view.entry_count(now);
-        let places = view.services.get_mut(&self.request.service);
-        places.is_some_and(|places| places.budget.try_take(now, entries))
+        let slots = view.services.get_mut(&self.request.service);
+        slots.is_some_and(|slots| slots.budget.try_take(now, entries))
     }
 }
--- a/crates/moleroad_gateway/src/gossip/answer.rs
+++ b/crates/moleroad_gateway/src/gossip/answer.rs
@@ -13,8 +13,8 @@
     let now = node.clock.now();
     node.apply_hall_updates(&hello.halls, UpdateSource::Greeting);
     node.receive_target_ends(hello.ends);
-    if let (Some(core), Some(member)) = (&node.control_member, hello.member) {
-        core.send(MemberInput::Spare(member));
+    if let (Some(control_member), Some(member)) = (&node.control_member, hello.member) {
+        control_member.send(MemberInput::Spare(member));
     }
     let mut view = node.view();
     let own = view.own.clone();
--- a/crates/moleroad_gateway/src/gossip/apply.rs
+++ b/crates/moleroad_gateway/src/gossip/apply.rs
@@ -1,4 +1,4 @@
-//! Makes requests use state received from other daemons.
+//! Applies state received from other daemons to waiting requests and target loads.
 
 use crate::node::Node;
 use crate::target_updates;
@@ -19,8 +19,8 @@
         return;
     };
     let (id, service) = (target.record.id.clone(), target.record.service.clone());
-    if let Some(places) = view.services.get_mut(&service) {
-        places.targets.record_report(now, &id, running, queued);
+    if let Some(slots) = view.services.get_mut(&service) {
+        slots.targets.record_report(now, &id, running, queued);
     }
 }
 
--- a/crates/moleroad_gateway/src/gossip/hello.rs
+++ b/crates/moleroad_gateway/src/gossip/hello.rs
@@ -27,7 +27,10 @@
     let question = next.delta_request(now, contact);
     let hello = Hello {
         from: CallerUpdate::since(&view.directory, &view.own, peer_state.position),
-        member: node.control_member.as_ref().map(|core| core.own.clone()),
+        member: node
+            .control_member
+            .as_ref()
+            .map(|control_member| control_member.own.clone()),
         config_version: view.state.config_version(),
         config_digest: view.config_digest,
         versions: view.state.versions.clone(),
--- a/crates/moleroad_gateway/src/gossip/mod.rs
+++ b/crates/moleroad_gateway/src/gossip/mod.rs
@@ -4,8 +4,8 @@
 //!
 //! [`moleroad_membership`] selects the contacts and intervals and records what
 //! was exchanged; this module makes the calls. `hello` builds the request,
-//! [`answer`] is the callee's side, and [`apply`] makes requests use the
-//! updated state.
+//! [`answer`] is the callee's side, and [`apply`] applies the
+//! updated state to requests.
 
 pub mod answer;
 pub mod apply;
@@ -112,7 +112,7 @@
         return;
     };
     let (config_version, config_digest) = (answer.config_version, answer.config_digest);
-    let is_whole = answer.news.is_complete();
+    let is_complete = answer.news.is_complete();
     apply_answer(&node, &contact, next, answer, &gossip_state);
     if is_behind(&node, config_version) {
         pull(&node, address).await;
@@ -126,7 +126,7 @@
     // The state is current only now: a fetch of the configuration may have
     // failed, or another one may still be in flight.
     let is_asked = contact.scope != Scope::Nothing;
-    if is_asked && is_whole && !is_behind(&node, config_version) {
+    if is_asked && is_complete && !is_behind(&node, config_version) {
         node.suspension_detector()
             .news_received(Millis(next.last_sent_ms));
     }
--- a/crates/moleroad_gateway/src/grants.rs
+++ b/crates/moleroad_gateway/src/grants.rs
@@ -150,13 +150,13 @@
 fn is_still_eligible(node: &Node, request: &PlaceRequest, granted: &Candidate) -> bool {
     let now = node.clock.now();
     let view = node.view();
-    let least = node.min_version(&view, &request.service);
-    let places = view.services.get(&request.service);
+    let min_version = node.min_version(&view, &request.service);
+    let slots = view.services.get(&request.service);
     let chosen = std::slice::from_ref(granted);
-    places.is_some_and(|places| {
-        let best = places
+    slots.is_some_and(|slots| {
+        let best = slots
             .targets
-            .best_of(now, request.needs(now, least), chosen);
+            .best_of(now, request.needs(now, min_version), chosen);
         best.is_some()
     })
 }
@@ -165,8 +165,8 @@
 pub fn needs_grant(node: &Node, request: &PlaceRequest, candidate: &Candidate) -> bool {
     let now = node.clock.now();
     let view = node.view();
-    let places = view.services.get(&request.service);
-    places.is_some_and(|places| places.targets.admission(now, candidate) == Admission::Grant)
+    let slots = view.services.get(&request.service);
+    slots.is_some_and(|slots| slots.targets.admission(now, candidate) == Admission::Grant)
 }
 
 /// Returns whether a send to a target of `service` may begin now, that is, whether it
@@ -175,8 +175,8 @@
     let now = node.clock.now();
     let holds = {
         let view = node.view();
-        let places = view.services.get(service);
-        places.is_some_and(|places| places.targets.may_still_send(now, candidate))
+        let slots = view.services.get(service);
+        slots.is_some_and(|slots| slots.targets.may_still_send(now, candidate))
     };
     if !holds {
         node.metrics.count("grant_lapsed");
--- a/crates/moleroad_gateway/src/hall_calls.rs
+++ b/crates/moleroad_gateway/src/hall_calls.rs
@@ -134,8 +134,8 @@
     let targets = view.directory.targets();
     let of_hall = targets.filter(|observed| observed.record.hall == hall);
     let own = of_hall.filter_map(|observed| {
-        let places = view.services.get(&observed.record.service)?;
-        Some(places.targets.load(&observed.record.id).own_in_flight())
+        let slots = view.services.get(&observed.record.service)?;
+        Some(slots.targets.load(&observed.record.id).own_in_flight())
     });
     own.sum()
 }
--- a/crates/moleroad_gateway/src/hall_orders.rs
+++ b/crates/moleroad_gateway/src/hall_orders.rs
@@ -20,7 +20,8 @@
         Unknown(hall: String) {
             display("MR-6308 no data hall {} is in the settings", hall)
         }
-        /// The hall was changed by an order that this one did not know.
+        /// The hall was changed by another order after the revision on which this one is
+    /// based.
         Overtaken {
             display("MR-6309 the data hall was changed meanwhile")
         }
@@ -82,9 +83,9 @@
     };
     match operator::order_hall(node, order).await {
         None => Err(HallError::Unreachable),
-        Some(verdict) if verdict.outcome == HallOrderOutcome::Overtaken => {
+        Some(order_result) if order_result.outcome == HallOrderOutcome::Overtaken => {
             Err(HallError::Overtaken)
         }
-        Some(verdict) => Ok(verdict.state),
+        Some(order_result) => Ok(order_result.state),
     }
 }
--- a/crates/moleroad_gateway/src/hall_updates.rs
+++ b/crates/moleroad_gateway/src/hall_updates.rs
@@ -56,8 +56,8 @@
         let now = self.clock.now();
         let diversions = {
             let mut view = self.view();
-            let least = self.min_version(&view, &request.service);
-            view.count_diversions(&request.service, request.needs(now, least))
+            let min_version = self.min_version(&view, &request.service);
+            view.count_diversions(&request.service, request.needs(now, min_version))
         };
         for hall in &diversions.halls {
             self.metrics
--- a/crates/moleroad_gateway/src/halls.rs
+++ b/crates/moleroad_gateway/src/halls.rs
@@ -42,7 +42,7 @@
     Pull,
 }
 
-/// A change of a hall that this daemon learned.
+/// A change of a hall of which this daemon learned.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HallChange {
     /// The hall.
@@ -132,10 +132,10 @@
             .evacuations
             .iter()
             .any(|(_, state)| state.evacuated);
-        let Some(places) = self.services.get(service).filter(|_| any) else {
+        let Some(slots) = self.services.get(service).filter(|_| any) else {
             return diverted;
         };
-        let excluded = places.targets.candidates().iter();
+        let excluded = slots.targets.candidates().iter();
         let excluded = excluded.filter(|c| exclusion(c, needs) == Some(Exclusion::Evacuated));
         for candidate in excluded {
             if let Some(observed) = self.directory.target(&candidate.id) {
--- a/crates/moleroad_gateway/src/limit_grants.rs
+++ b/crates/moleroad_gateway/src/limit_grants.rs
@@ -16,13 +16,13 @@
 impl LimitGrants {
     /// Takes one grant for a target that named `rate`, if one is available.
     pub fn take(&self, now: Millis, target: &TargetId, rate: RequestRate) -> bool {
-        let terms = limit_bucket_params(rate);
+        let params = limit_bucket_params(rate);
         let mut buckets = self.lock();
         // A bucket that is full again is equal to a new one.
         buckets.retain(|known, bucket| known == target || !bucket.is_full(now));
-        let full = TokenBucket::full(now, terms);
+        let full = TokenBucket::full(now, params);
         let bucket = buckets.entry(target.clone()).or_insert(full);
-        bucket.set_params(now, terms);
+        bucket.set_params(now, params);
         bucket.take(now)
     }
 
--- a/crates/moleroad_gateway/src/management_api.rs
+++ b/crates/moleroad_gateway/src/management_api.rs
@@ -154,16 +154,16 @@
     }
     let now = node.clock.now();
     let view = node.view();
-    let near = view
+    let entries = view
         .directory
         .ready_entries(now)
         .filter(|entry| entry.hall == hall);
-    let near: Vec<_> = near.filter_map(|entry| entry.control).collect();
-    if near.is_empty() || near.contains(&node.settings.listen.control?) {
+    let addresses: Vec<_> = entries.filter_map(|entry| entry.control).collect();
+    if addresses.is_empty() || addresses.contains(&node.settings.listen.control?) {
         return node.settings.listen.control;
     }
-    let at = rand::random::<u32>() as usize % near.len();
-    near.get(at).copied()
+    let at = rand::random::<u32>() as usize % addresses.len();
+    addresses.get(at).copied()
 }
 
 async fn replace_configuration(node: &Arc<Node>, body: &Bytes) -> ManagementResponse {
--- a/crates/moleroad_gateway/src/metrics.rs
+++ b/crates/moleroad_gateway/src/metrics.rs
@@ -24,7 +24,7 @@
     pub events: IntCounterVec,
     /// Time to the first byte of an answer, in seconds.
     pub first_byte_s: Histogram,
-    /// Time from the arrival of a request to its first place at a target, in seconds.
+    /// Time from the arrival of a request to its first slot at a target, in seconds.
     pub wait_s: Histogram,
     /// Number of evacuated data halls.
     pub halls_evacuated: IntGauge,
--- a/crates/moleroad_gateway/src/named_versions.rs
+++ b/crates/moleroad_gateway/src/named_versions.rs
@@ -5,7 +5,8 @@
 use moleroad_types::prelude::Millis;
 use std::collections::BTreeMap;
 
-/// Maximum number of versions whose times are kept: older ones have long been due.
+/// Maximum number of versions whose naming times are kept; the deadlines of older
+/// versions have long passed.
 const MAX_NAMED_VERSIONS: usize = 8;
 
 /// The versions of a model that were named, and when, as far as known.
--- a/crates/moleroad_gateway/src/no_place.rs
+++ b/crates/moleroad_gateway/src/no_place.rs
@@ -9,7 +9,7 @@
 /// Reason why there is no slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoPlaceCause {
-    /// No target has capacity to meet the wanted latency.
+    /// No target has capacity to meet the target latency.
     Busy,
     /// All targets are in evacuated data halls, and the request may be served anywhere.
     Evacuated,
@@ -58,8 +58,8 @@
 
 /// Returns the time until the first eligible target ends its backoff, in milliseconds;
 /// `None` when one is available now or none is in backoff.
-fn backoff_left_ms(now: Millis, places: &ServiceSlots, needs: Requirements<'_>) -> Option<u64> {
-    let backoff_end = places.targets.backoff_ends(needs)?;
+fn backoff_left_ms(now: Millis, slots: &ServiceSlots, needs: Requirements<'_>) -> Option<u64> {
+    let backoff_end = slots.targets.backoff_ends(needs)?;
     Some(backoff_end.any.since(now).max(MIN_RETRY_AFTER_MS))
 }
 
@@ -72,8 +72,8 @@
         ..request.clone()
     };
     let needs = retry.needs(now, node.min_version(view, &request.service));
-    let places = view.services.get(&request.service);
-    let backoff_left_ms = places.and_then(|places| backoff_left_ms(now, places, needs));
+    let slots = view.services.get(&request.service);
+    let backoff_left_ms = slots.and_then(|slots| backoff_left_ms(now, slots, needs));
     backoff_left_ms.map_or(REJECTED_RETRY_MS, |ms| ms + random_jitter_ms())
 }
 
@@ -84,11 +84,11 @@
 
 /// Returns the state of slots for this request.
 pub(crate) fn no_place_for(node: &Node, view: &View, request: &PlaceRequest) -> NoPlace {
-    let least = node.min_version(view, &request.service);
-    let places = view.services.get(&request.service);
+    let min_version = node.min_version(view, &request.service);
+    let slots = view.services.get(&request.service);
     let now = node.clock.now();
     let entries = view.entry_count(now);
-    no_place(now, places, request.needs(now, least), entries)
+    no_place(now, slots, request.needs(now, min_version), entries)
 }
 
 /// Returns the time until a new request would get a slot while all its targets are rate
@@ -96,12 +96,12 @@
 /// one; 0 while some target has no rate limit.
 fn rate_limited_wait_ms(
     now: Millis,
-    places: Option<&ServiceSlots>,
+    slots: Option<&ServiceSlots>,
     needs: Requirements<'_>,
     entries: usize,
 ) -> u64 {
-    let gap_ms = places.and_then(|places| places.targets.rate_limited_interval_ms(now, needs));
-    let waiting = places.map_or(0, |places| places.waiting());
+    let gap_ms = slots.and_then(|slots| slots.targets.rate_limited_interval_ms(now, needs));
+    let waiting = slots.map_or(0, |slots| slots.waiting());
     let ahead = (waiting + 1) * entries;
     gap_ms.map_or(0, |gap_ms| (gap_ms * ahead as f64) as u64)
 }
@@ -110,20 +110,20 @@
 /// of entries that share the targets.
 pub(crate) fn no_place(
     now: Millis,
-    places: Option<&ServiceSlots>,
+    slots: Option<&ServiceSlots>,
     needs: Requirements<'_>,
     entries: usize,
 ) -> NoPlace {
-    let candidates = places.map_or(0, |places| places.targets.count_not_evacuated());
-    let is_outage = !places.is_some_and(|places| places.targets.any_reachable(now, needs));
-    let served_in_ms = places.and_then(|places| places.expected_outage_ms(now));
-    let backoff_left_ms = places.and_then(|places| backoff_left_ms(now, places, needs));
+    let candidates = slots.map_or(0, |slots| slots.targets.count_not_evacuated());
+    let is_outage = !slots.is_some_and(|slots| slots.targets.any_reachable(now, needs));
+    let served_in_ms = slots.and_then(|slots| slots.expected_outage_ms(now));
+    let backoff_left_ms = slots.and_then(|slots| backoff_left_ms(now, slots, needs));
     let wait_ms = match (backoff_left_ms, is_outage, served_in_ms) {
         // A retry before that would be refused again.
         (Some(ms), _, _) => ms,
         (None, true, Some(ms)) => ms.saturating_sub(EARLY_RETRY_MS).max(MIN_RETRY_AFTER_MS),
         (None, true, None) => OUTAGE_RETRY_AFTER_MS,
-        (None, false, _) => rate_limited_wait_ms(now, places, needs, entries)
+        (None, false, _) => rate_limited_wait_ms(now, slots, needs, entries)
             .clamp(MIN_RETRY_AFTER_MS, OUTAGE_RETRY_AFTER_MS),
     };
     let all = AllowedRegions::all();
@@ -131,8 +131,8 @@
     NoPlace {
         cause: NoPlaceCause::Busy,
         retry_after_ms: wait_ms + random_jitter_ms(),
-        waiting: places.map_or(0, |places| places.waiting()),
+        waiting: slots.map_or(0, |slots| slots.waiting()),
         candidates,
-        free_places: places.map_or(0, |places| places.targets.free_slots(now, regions) as u64),
+        free_places: slots.map_or(0, |slots| slots.targets.free_slots(now, regions) as u64),
     }
 }
--- a/crates/moleroad_gateway/src/node.rs
+++ b/crates/moleroad_gateway/src/node.rs
@@ -80,21 +80,23 @@
         settings: Settings,
         clock: Clock,
         interface: Arc<dyn Interface>,
-        core: Option<ControlMember>,
+        control_member: Option<ControlMember>,
     ) -> Self {
         let own = own_record(&settings);
-        let began_at = clock.now();
+        let started_at = clock.now();
         let metrics = Metrics::default();
-        let suspension = match &core {
-            Some(core) if core.has_stored_state => SuspensionDetector::with_stored_state(began_at),
-            _ => SuspensionDetector::new(began_at),
+        let suspension = match &control_member {
+            Some(control_member) if control_member.has_stored_state => {
+                SuspensionDetector::with_stored_state(started_at)
+            }
+            _ => SuspensionDetector::new(started_at),
         };
         Self {
-            started_at: began_at,
+            started_at,
             clock,
             interface,
             peers: Peers::new(metrics.peer_bytes()),
-            control_member: core,
+            control_member,
             pool: Pool::default(),
             metrics,
             state_changed: Notify::new(),
@@ -327,9 +329,9 @@
     pub fn expected_wait_ms(&self, request: &PlaceRequest) -> Option<u64> {
         let now = self.clock.now();
         let view = self.view();
-        let least = self.min_version(&view, &request.service);
-        let places = view.services.get(&request.service);
-        places.and_then(|places| places.expected_overdue_wait_ms(now, request.needs(now, least)))
+        let min_version = self.min_version(&view, &request.service);
+        let slots = view.services.get(&request.service);
+        slots.and_then(|slots| slots.expected_overdue_wait_ms(now, request.needs(now, min_version)))
     }
 
     /// Assigns free slots to waiting requests.
@@ -338,9 +340,9 @@
         let mut view = self.view();
         let names: Vec<String> = view.services.keys().cloned().collect();
         for name in names {
-            let least = self.min_version(&view, &name);
-            if let Some(places) = view.services.get_mut(&name) {
-                places.serve_waiting(now, least);
+            let min_version = self.min_version(&view, &name);
+            if let Some(slots) = view.services.get_mut(&name) {
+                slots.serve_waiting(now, min_version);
             }
         }
     }
@@ -374,7 +376,7 @@
     }
 }
 
-/// Time after the start of a process in which it polls for news more often, in
+/// Time after the start of a process in which it polls for updates more often, in
 /// milliseconds: after a power loss of the whole system, control daemons elect a
 /// leader, and daemons discover each other, within two seconds.
 const STARTUP_MS: u64 = 3_000;
--- a/crates/moleroad_gateway/src/operator.rs
+++ b/crates/moleroad_gateway/src/operator.rs
@@ -60,15 +60,16 @@
     let hall = wanted.hall.clone();
     let command = ControlCommand::OrderHall(wanted);
     let until = node.clock.now() + ANSWER_TIMEOUT_MS;
-    let ProposeAnswer::Hall(verdict) = propose_with_retries(node, &command, until).await else {
+    let ProposeAnswer::Hall(order_result) = propose_with_retries(node, &command, until).await
+    else {
         return None;
     };
     let update = HallUpdate {
-        state: verdict.state,
+        state: order_result.state,
         age_ms: 0,
     };
     node.apply_hall_updates(&HallUpdates::from([(hall, update)]), UpdateSource::Answer);
-    Some(verdict)
+    Some(order_result)
 }
 
 /// Requests a trial of a quarantined request. Returns true only if it is certain that
@@ -146,12 +147,12 @@
 
 /// Proposes a change to the control group member in this process.
 pub async fn propose_locally(node: &Node, command: ControlCommand) -> ProposeAnswer {
-    let Some(core) = &node.control_member else {
+    let Some(control_member) = &node.control_member else {
         return ProposeAnswer::NotLeader(node.leader_hint());
     };
-    match core.propose(command).await {
+    match control_member.propose(command).await {
         ProposalOutcome::Applied(decided) => ProposeAnswer::Committed(decided),
-        ProposalOutcome::Hall(verdict) => ProposeAnswer::Hall(verdict),
+        ProposalOutcome::Hall(order_result) => ProposeAnswer::Hall(order_result),
         ProposalOutcome::NotLeader(leader) => {
             ProposeAnswer::NotLeader(node.leader_hint_for(leader))
         }
@@ -215,16 +216,16 @@
 /// # Errors
 /// Returns the current leader, if known.
 pub async fn read_locally(node: &Node) -> Result<ControlState, Option<LeaderHint>> {
-    let Some(core) = &node.control_member else {
+    let Some(control_member) = &node.control_member else {
         return Err(node.leader_hint());
     };
-    match core.read().await {
+    match control_member.read().await {
         Ok(state) => Ok((*state).clone()),
         Err(leader) => Err(node.leader_hint_for(leader)),
     }
 }
 
 async fn pause(left_ms: u64) {
-    let pause = Millis(left_ms.min(RETRY_PAUSE_MS));
-    tokio::time::sleep(Duration::from_millis(pause.0)).await;
+    let duration = Millis(left_ms.min(RETRY_PAUSE_MS));
+    tokio::time::sleep(Duration::from_millis(duration.0)).await;
 }
--- a/crates/moleroad_gateway/src/peer_server.rs
+++ b/crates/moleroad_gateway/src/peer_server.rs
@@ -54,17 +54,17 @@
     }
 
     async fn consensus(self, _: Context, from: MemberInfo, message: Message) {
-        if let Some(core) = &self.node.control_member {
-            core.send(MemberInput::Receive(from, message));
+        if let Some(control_member) = &self.node.control_member {
+            control_member.send(MemberInput::Receive(from, message));
         }
     }
 
-    async fn targets(self, _: Context, news: Vec<TargetUpdate>) {
-        crate::target_updates::apply_updates(&self.node, news);
+    async fn targets(self, _: Context, updates: Vec<TargetUpdate>) {
+        crate::target_updates::apply_updates(&self.node, updates);
     }
 
-    async fn pass_on(self, _: Context, news: Vec<TargetUpdate>, to: Vec<SocketAddr>) {
-        crate::target_updates::pass_on(&self.node, news, to).await;
+    async fn pass_on(self, _: Context, updates: Vec<TargetUpdate>, to: Vec<SocketAddr>) {
+        crate::target_updates::pass_on(&self.node, updates, to).await;
     }
 
     async fn propose(self, _: Context, command: ControlCommand) -> ProposeAnswer {
--- a/crates/moleroad_gateway/src/places.rs
+++ b/crates/moleroad_gateway/src/places.rs
@@ -27,12 +27,12 @@
     /// Priority; 0 is the most urgent.
     pub priority: u8,
     /// Deadline for the first event; `None` when a late answer is better than none.
-    pub wanted_by: Option<Millis>,
+    pub latency_deadline: Option<Millis>,
     /// Time until which the request waits for a slot.
     pub until: Millis,
-    /// Queue of the request: in time, or overdue because its wanted latency can no
+    /// Queue of the request: in time, or overdue because its target latency can no
     /// longer be met.
-    pub line: WaitClass,
+    pub class: WaitClass,
     /// Regions in which the request may be served.
     pub residency: Residency,
     /// Fingerprint of the request, which is the same when its caller repeats it.
@@ -49,16 +49,18 @@
 const MIN_SLOT_SHARE: f64 = 0.01;
 
 impl PlaceRequest {
-    /// Returns the requirements that a target has to meet at `now`, with `least` as the
-    /// lowest version of the weights.
-    pub fn needs(&self, now: Millis, least: Option<u64>) -> Requirements<'_> {
+    /// Returns the requirements that a target has to meet at `now`, with
+    /// `min_version` as the lowest version of the weights.
+    pub fn needs(&self, now: Millis, min_version: Option<u64>) -> Requirements<'_> {
         Requirements {
             now,
             tried: &self.tried,
-            min_version: least,
+            min_version,
             prompt_tokens: self.prompt_tokens,
-            first_event_within_ms: self.wanted_by.map(|wanted_by| wanted_by.since(now)),
-            reserved_slots: match self.line {
+            first_event_within_ms: self
+                .latency_deadline
+                .map(|latency_deadline| latency_deadline.since(now)),
+            reserved_slots: match self.class {
                 WaitClass::InTime => 0,
                 WaitClass::Overdue => SLOTS_RESERVED_FOR_IN_TIME,
             },
@@ -123,7 +125,7 @@
     }
 
     /// Assigns free slots to waiting requests, unless they probe agents themselves.
-    pub fn serve_waiting(&mut self, now: Millis, least: Option<u64>) {
+    pub fn serve_waiting(&mut self, now: Millis, min_version: Option<u64>) {
         if self.targets.require_queries() {
             return;
         }
@@ -133,7 +135,7 @@
                 self.queue.leave(id);
                 continue;
             };
-            let needs = waiting.request.needs(now, least);
+            let needs = waiting.request.needs(now, min_version);
             let Choice::Send(candidate) = self.targets.choose(now, needs, id.0) else {
                 full_regions.push(waiting.request.residency.allowed().clone());
                 continue;
@@ -142,7 +144,7 @@
             let Some(waiting) = self.waiting.remove(&id) else {
                 continue;
             };
-            self.record_granted(now, waiting.request.line);
+            self.record_granted(now, waiting.request.class);
             let target = candidate.id.clone();
             let tokens = waiting.request.prompt_tokens;
             self.targets.started(now, &target, tokens);
@@ -159,22 +161,22 @@
         request: &PlaceRequest,
     ) -> Option<(WaiterId, oneshot::Receiver<Candidate>)> {
         let regions = request.residency.allowed();
-        let ahead = self.queue.count_ahead(request.line, regions);
+        let ahead = self.queue.count_ahead(request.class, regions);
         self.next_waiter += 1;
         let id = WaiterId(self.next_waiter);
         let entered = self.queue.enter(Waiter {
             id,
-            class: request.line,
+            class: request.class,
             priority: request.priority,
             since: now,
-            latency_deadline: request.wanted_by.unwrap_or(request.until),
+            latency_deadline: request.latency_deadline.unwrap_or(request.until),
             expires_at: request.until,
             regions: regions.clone(),
         });
         if !entered {
             return None;
         }
-        if request.line == WaitClass::Overdue {
+        if request.class == WaitClass::Overdue {
             self.overdue_waits.record_enqueued(now, ahead);
         }
         let (granted, grant) = oneshot::channel();
@@ -183,8 +185,8 @@
         Some((id, grant))
     }
 
-    pub(crate) fn record_granted(&mut self, now: Millis, line: WaitClass) {
-        if line == WaitClass::Overdue {
+    pub(crate) fn record_granted(&mut self, now: Millis, class: WaitClass) {
+        if class == WaitClass::Overdue {
             self.overdue_waits.record_granted(now);
         }
     }
@@ -192,7 +194,7 @@
     /// Returns whether another overdue request may be sent: all entries together leave
     /// most slots to requests in time.
     pub(crate) fn admits(&self, request: &PlaceRequest, entries: usize) -> bool {
-        if request.line == WaitClass::InTime {
+        if request.class == WaitClass::InTime {
             return true;
         }
         let regions = request.residency.allowed();
--- a/crates/moleroad_gateway/src/probe.rs
+++ b/crates/moleroad_gateway/src/probe.rs
@@ -21,7 +21,7 @@
 /// How long a probe waits for an agent's answer: two round trips to another region, and
 /// the time to read the engine's state.
 const PROBE_WAIT: Duration = Duration::from_millis(25);
-/// How long a late answer is still accepted.
+/// Time for which a late answer is still accepted.
 const LATE_ANSWER_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Selects a target for the request and counts the send; returns `None` when none of
@@ -38,8 +38,8 @@
         return admit_best(node, request, grant_candidates).await;
     }
     let mut results = probe_agents(node, request, SearchScope::OwnRegion, draw).await;
-    let near = best_of(node, request, &results.available);
-    if let Some(best) = near.filter(|near| is_good_enough(node, request, near)) {
+    let local_best = best_of(node, request, &results.available);
+    if let Some(best) = local_best.filter(|local_best| is_good_enough(node, request, local_best)) {
         results
             .available
             .retain(|candidate| candidate.id != best.id);
@@ -112,8 +112,8 @@
 
 fn have_agents(node: &Node, request: &PlaceRequest) -> bool {
     let view = node.view();
-    let places = view.services.get(&request.service);
-    places.is_some_and(|places| places.targets.have_agents())
+    let slots = view.services.get(&request.service);
+    slots.is_some_and(|slots| slots.targets.have_agents())
 }
 
 /// Chooses by known state, without probing.
@@ -121,9 +121,11 @@
     let now = node.clock.now();
     let choice = {
         let view = node.view();
-        let least = node.min_version(&view, &request.service);
-        let places = view.services.get(&request.service)?;
-        places.targets.choose(now, request.needs(now, least), draw)
+        let min_version = node.min_version(&view, &request.service);
+        let slots = view.services.get(&request.service)?;
+        slots
+            .targets
+            .choose(now, request.needs(now, min_version), draw)
     };
     match choice {
         Choice::Send(candidate) => Some(count_send(node, request, candidate)),
@@ -135,12 +137,12 @@
 fn grant_candidates(node: &Node, request: &PlaceRequest, draw: u64) -> Vec<Candidate> {
     let now = node.clock.now();
     let view = node.view();
-    let least = node.min_version(&view, &request.service);
-    let places = view.services.get(&request.service);
-    places.map_or_else(Vec::new, |places| {
-        places
+    let min_version = node.min_version(&view, &request.service);
+    let slots = view.services.get(&request.service);
+    slots.map_or_else(Vec::new, |slots| {
+        slots
             .targets
-            .grant_candidates(now, request.needs(now, least), draw)
+            .grant_candidates(now, request.needs(now, min_version), draw)
     })
 }
 
@@ -148,8 +150,8 @@
 fn count_send(node: &Node, request: &PlaceRequest, candidate: Candidate) -> Candidate {
     let now = node.clock.now();
     let mut view = node.view();
-    if let Some(places) = view.services.get_mut(&request.service) {
-        let targets = &mut places.targets;
+    if let Some(slots) = view.services.get_mut(&request.service) {
+        let targets = &mut slots.targets;
         targets.started(now, &candidate.id, request.prompt_tokens);
     }
     candidate
@@ -158,17 +160,17 @@
 fn best_of(node: &Node, request: &PlaceRequest, probed: &[Candidate]) -> Option<Candidate> {
     let now = node.clock.now();
     let view = node.view();
-    let least = node.min_version(&view, &request.service);
-    let places = view.services.get(&request.service)?;
-    places
+    let min_version = node.min_version(&view, &request.service);
+    let slots = view.services.get(&request.service)?;
+    slots
         .targets
-        .best_of(now, request.needs(now, least), probed)
+        .best_of(now, request.needs(now, min_version), probed)
 }
 
 fn is_good_enough(node: &Node, request: &PlaceRequest, candidate: &Candidate) -> bool {
     let view = node.view();
-    let places = view.services.get(&request.service);
-    places.is_some_and(|places| places.targets.is_good_enough(node.clock.now(), candidate))
+    let slots = view.services.get(&request.service);
+    slots.is_some_and(|slots| slots.targets.is_good_enough(node.clock.now(), candidate))
 }
 
 /// Probes the agents of some targets; returns the targets that accept new requests and
@@ -182,15 +184,15 @@
     let now = node.clock.now();
     let (drawn, backing_off) = {
         let view = node.view();
-        let least = node.min_version(&view, &request.service);
-        let Some(places) = view.services.get(&request.service) else {
+        let min_version = node.min_version(&view, &request.service);
+        let Some(slots) = view.services.get(&request.service) else {
             return ProbeResults::default();
         };
-        let drawn = places
+        let drawn = slots
             .targets
-            .shortlist(now, request.needs(now, least), reach, draw);
+            .shortlist(now, request.needs(now, min_version), reach, draw);
         let is_backing_off =
-            |candidate: &Candidate| places.targets.load(&candidate.id).agent_is_backed_off(now);
+            |candidate: &Candidate| slots.targets.load(&candidate.id).agent_is_backed_off(now);
         let backing_off: Vec<bool> = drawn.iter().map(is_backing_off).collect();
         (drawn, backing_off)
     };
@@ -221,10 +223,10 @@
                 }
             }
             failed => {
-                if let Some(places) = node.view().services.get_mut(&request.service) {
+                if let Some(slots) = node.view().services.get_mut(&request.service) {
                     match failed {
-                        Ok(_) => places.targets.agent_refused(now, &candidate.id),
-                        Err(_) => places.targets.agent_timed_out(now, &candidate.id),
+                        Ok(_) => slots.targets.agent_refused(now, &candidate.id),
+                        Err(_) => slots.targets.agent_timed_out(now, &candidate.id),
                     }
                 }
                 results.add_unresponsive(node, request, candidate);
@@ -237,9 +239,9 @@
 /// Returns whether the target's agent did not respond to the last probe.
 fn agent_is_unresponsive(node: &Node, request: &PlaceRequest, candidate: &Candidate) -> bool {
     let view = node.view();
-    let places = view.services.get(&request.service);
-    places.is_some_and(|places| {
-        let load = places.targets.load(&candidate.id);
+    let slots = view.services.get(&request.service);
+    slots.is_some_and(|slots| {
+        let load = slots.targets.load(&candidate.id);
         load.is_unresponsive(node.clock.now())
     })
 }
@@ -271,8 +273,8 @@
         let mut load = answer.ok().flatten()?;
         let now = node.clock.now();
         let mut view = node.view();
-        if let Some(places) = view.services.get_mut(&service) {
-            let targets = &mut places.targets;
+        if let Some(slots) = view.services.get_mut(&service) {
+            let targets = &mut slots.targets;
             targets.record_report(now, &id, load.running, load.queued);
             // Grants only matter while the engine is cold or names a limit.
             if !grants::update_cold_state(targets, now, &candidate, &load) {
--- a/crates/moleroad_gateway/src/quarantine.rs
+++ b/crates/moleroad_gateway/src/quarantine.rs
@@ -76,8 +76,8 @@
         self.successes.has_succeeded(now, request)
     }
 
-    /// Returns whether an order for a request may be sent now, at least `pause_ms`
-    /// after the previous one, and records it if so.
+    /// Returns whether a command for a request may be sent to the control group now, at
+    /// least `pause_ms` after the previous one, and records it if so.
     pub fn claim_order(&mut self, now: Millis, request: RequestFingerprint, pause_ms: u64) -> bool {
         self.last_orders.retain(|_, at| now.since(*at) < pause_ms);
         let is_due = !self.last_orders.contains_key(&request);
@@ -88,7 +88,7 @@
     }
 
     /// Records that a request succeeded; returns true if that excuses it.
-    pub fn note_success(&mut self, now: Millis, request: RequestFingerprint) -> bool {
+    pub fn record_success(&mut self, now: Millis, request: RequestFingerprint) -> bool {
         self.successes.note(now, request);
         self.suspects.excuse(&request)
     }
@@ -198,10 +198,10 @@
         let incarnations: BTreeSet<TargetIncarnation> =
             reports.iter().filter_map(recently_terminated).collect();
         self.merge_terminations(reports, TerminationSource::Greeting);
-        for life in incarnations {
+        for incarnation in incarnations {
             let now = self.clock.now();
-            let abandoned = self.target_ends().record_termination(now, &life);
-            self.report_terminations(&life, abandoned);
+            let abandoned = self.target_ends().record_termination(now, &incarnation);
+            self.report_terminations(&incarnation, abandoned);
         }
     }
 
@@ -214,12 +214,14 @@
         let mut view = self.view();
         for request in view.quarantine.merge(now, reports, source) {
             self.metrics.count("request_held");
-            let ended = view.quarantine.suspects.terminations_under(now, &request);
-            let ended: Vec<&str> = ended.map(|life| life.target.as_str()).collect();
+            let terminated = view.quarantine.suspects.terminations_under(now, &request);
+            let terminated: Vec<&str> = terminated
+                .map(|incarnation| incarnation.target.as_str())
+                .collect();
             log::warn!(
                 event = "request_held",
                 fingerprint:% = request,
-                ended = ended.join(",").as_str(),
+                ended = terminated.join(",").as_str(),
                 source:? = source;
                 ""
             );
@@ -229,9 +231,9 @@
     }
 
     /// Records that a request succeeded.
-    pub fn note_success(&self, request: RequestFingerprint) {
+    pub fn record_success(&self, request: RequestFingerprint) {
         let now = self.clock.now();
-        if self.view().quarantine.note_success(now, request) {
+        if self.view().quarantine.record_success(now, request) {
             self.metrics.count("request_excused");
             log::info!(event = "request_excused", fingerprint:% = request; "");
             self.state_changed.notify_waiters();
--- a/crates/moleroad_gateway/src/refusal.rs
+++ b/crates/moleroad_gateway/src/refusal.rs
@@ -25,18 +25,18 @@
     request: &PlaceRequest,
 ) -> Option<NoPlace> {
     let now = node.clock.now();
-    let places = view.services.get(&request.service)?;
+    let slots = view.services.get(&request.service)?;
     let needs = request.needs(now, node.min_version(view, &request.service));
     let held_for_ms = node.hold_left_ms(view, &request.fingerprint);
     let held_for_ms = held_for_ms.filter(|_| !request.is_trial);
     let cause = if held_for_ms.is_some() {
         NoPlaceCause::Quarantined
     } else if request.residency.allowed().is_unrestricted() {
-        cause_anywhere(node, places, needs, request)?
+        cause_anywhere(node, slots, needs, request)?
     } else {
-        cause_in_regions(node, places, needs, request)?
+        cause_in_regions(node, slots, needs, request)?
     };
-    let refused = no_place(now, Some(places), needs, view.entry_count(now));
+    let refused = no_place(now, Some(slots), needs, view.entry_count(now));
     let retry_after_ms = match cause {
         NoPlaceCause::Quarantined => {
             node.held_retry_ms(view, &request.fingerprint, held_for_ms.unwrap_or(0))
@@ -56,24 +56,25 @@
 
 /// Returns why a request without region restrictions is refused: all targets are in
 /// evacuated halls or in backoff, or all known targets rejected it. Otherwise it would
-/// wait for another target until its deadline (3 s in a test), although one of these
-/// may accept it soon. A stream that has begun waits, since its caller cannot retry it.
+/// wait for another target until its deadline (3 s in a test), although a retry at one
+/// of these targets may soon be accepted. A stream that has begun waits, since its
+/// caller cannot retry it.
 fn cause_anywhere(
     node: &Node,
-    places: &ServiceSlots,
+    slots: &ServiceSlots,
     needs: Requirements<'_>,
     request: &PlaceRequest,
 ) -> Option<NoPlaceCause> {
-    if places.targets.all_evacuated(needs) {
+    if slots.targets.all_evacuated(needs) {
         return Some(NoPlaceCause::Evacuated);
     }
-    let backoff_end = places.targets.backoff_ends(needs);
+    let backoff_end = slots.targets.backoff_ends(needs);
     let was_rejected = request.was_sent && !request.may_have_run;
     if backoff_end.is_none() && !was_rejected {
         return None;
     }
-    let excluded = count_exclusions(places.targets.candidates(), needs);
-    let weights_in_transfer = || places.expected_outage_ms(node.clock.now()).is_some();
+    let excluded = count_exclusions(slots.targets.candidates(), needs);
+    let weights_in_transfer = || slots.expected_outage_ms(node.clock.now()).is_some();
     if backoff_outlasts_wait(excluded, backoff_end, request) {
         Some(NoPlaceCause::Resting)
     } else if was_rejected && all_tried_before(excluded) && !weights_in_transfer() {
@@ -88,18 +89,18 @@
 /// backoff ends in time, or if no target is known and weights are in transfer.
 fn cause_in_regions(
     node: &Node,
-    places: &ServiceSlots,
+    slots: &ServiceSlots,
     needs: Requirements<'_>,
     request: &PlaceRequest,
 ) -> Option<NoPlaceCause> {
     let now = node.clock.now();
-    if places.targets.any_reachable(now, needs) {
+    if slots.targets.any_reachable(now, needs) {
         return None;
     }
-    let excluded = count_exclusions(places.targets.candidates(), needs);
-    let backoff_end = places.targets.backoff_ends(needs);
-    let none_is_known = places.targets.candidates().is_empty();
-    let weights_in_transfer = none_is_known && places.expected_outage_ms(now).is_some();
+    let excluded = count_exclusions(slots.targets.candidates(), needs);
+    let backoff_end = slots.targets.backoff_ends(needs);
+    let none_is_known = slots.targets.candidates().is_empty();
+    let weights_in_transfer = none_is_known && slots.expected_outage_ms(now).is_some();
     if request.residency.allowed().is_empty() {
         Some(NoPlaceCause::DisjointRegions)
     } else if backoff_outlasts_wait(excluded, backoff_end, request) {
--- a/crates/moleroad_gateway/src/run.rs
+++ b/crates/moleroad_gateway/src/run.rs
@@ -64,8 +64,8 @@
     let hangups = signal(SignalKind::hangup())?;
     let clock = Clock::default();
     let (output, outputs) = mpsc::unbounded_channel();
-    let core = start_control_member(&settings, clock, output)?;
-    let node = Arc::new(Node::new(settings, clock, interface, core));
+    let control_member = start_control_member(&settings, clock, output)?;
+    let node = Arc::new(Node::new(settings, clock, interface, control_member));
     node.update_own_record();
     log::info!(
         event = "start",
@@ -136,7 +136,7 @@
     let own = settings.peer_address();
     let seeds = settings.seed_peers();
     let is_founder = settings.found_group && seeds.contains(&own);
-    let core = MemberSettings {
+    let member_settings = MemberSettings {
         folder: folder.clone(),
         initial_id: if is_founder {
             founding_member_id(own)
@@ -150,7 +150,7 @@
         founding: is_founder.then(|| founding_configuration(&seeds)),
         tolerated_losses: settings.tolerated_losses,
     };
-    ControlMember::start(core, clock, output)
+    ControlMember::start(member_settings, clock, output)
         .map(Some)
         .map_err(std::io::Error::other)
 }
@@ -209,7 +209,11 @@
 }
 
 async fn send(node: Arc<Node>, to: MemberInfo, message: Message) {
-    let Some(from) = node.control_member.as_ref().map(|core| core.own.clone()) else {
+    let Some(from) = node
+        .control_member
+        .as_ref()
+        .map(|control_member| control_member.own.clone())
+    else {
         return;
     };
     let call = |client: crate::peer::PeerClient, context| async move {
@@ -305,8 +309,8 @@
     let started = node.clock.now();
     log::info!(event = "stop_begins"; "");
     node.leave();
-    if let Some(core) = &node.control_member {
-        core.send(MemberInput::Retire);
+    if let Some(control_member) = &node.control_member {
+        control_member.send(MemberInput::Retire);
     }
     let grace_ms = node.settings.bounds.grace_ms;
     let reject_after = grace_ms - grace_ms / GRACE_FINAL_DIVISOR;
--- a/crates/moleroad_gateway/src/target_ends.rs
+++ b/crates/moleroad_gateway/src/target_ends.rs
@@ -31,7 +31,7 @@
 /// Checks of the targets at which requests broke off.
 #[derive(Default)]
 pub struct TargetEnds {
-    by_life: HashMap<TargetIncarnation, CheckState>,
+    by_incarnation: HashMap<TargetIncarnation, CheckState>,
     abandoned: HashMap<TargetIncarnation, Vec<AbandonedRequest>>,
 }
 
@@ -45,7 +45,7 @@
 /// A request that was given up and that its target may still be running.
 struct AbandonedRequest {
     request: RequestFingerprint,
-    /// When its target gives it up too.
+    /// Time at which its target abandons it, too.
     until: Millis,
 }
 
@@ -61,15 +61,15 @@
     pub fn record_abandoned(
         &mut self,
         now: Millis,
-        life: &TargetIncarnation,
+        incarnation: &TargetIncarnation,
         request: RequestFingerprint,
         until: Millis,
     ) {
         self.abandoned.retain(|_, requests| {
-            requests.retain(|left| left.until > now);
+            requests.retain(|entry| entry.until > now);
             !requests.is_empty()
         });
-        let requests = self.abandoned.entry(life.clone()).or_default();
+        let requests = self.abandoned.entry(incarnation.clone()).or_default();
         if requests.len() < MAX_BROKEN_REQUESTS {
             requests.push(AbandonedRequest { request, until });
         }
@@ -80,31 +80,33 @@
     pub fn record_termination(
         &mut self,
         now: Millis,
-        life: &TargetIncarnation,
+        incarnation: &TargetIncarnation,
     ) -> Vec<RequestFingerprint> {
-        let check = self.by_life.insert(life.clone(), CheckState::Ended(now));
+        let check = self
+            .by_incarnation
+            .insert(incarnation.clone(), CheckState::Ended(now));
         let mut requests = match check {
             Some(CheckState::Pending(requests)) => requests,
             _ => Vec::new(),
         };
-        let abandoned = self.abandoned.remove(life).unwrap_or_default();
-        let alive = abandoned.iter().filter(|left| left.until > now);
-        requests.extend(alive.map(|left| left.request));
+        let abandoned = self.abandoned.remove(incarnation).unwrap_or_default();
+        let unexpired = abandoned.iter().filter(|entry| entry.until > now);
+        requests.extend(unexpired.map(|entry| entry.request));
         requests
     }
 
     fn record_break(
         &mut self,
         now: Millis,
-        life: &TargetIncarnation,
+        incarnation: &TargetIncarnation,
         request: RequestFingerprint,
     ) -> BreakAction {
         let is_relevant = |check: &CheckState| match check {
             CheckState::Pending(_) => true,
             CheckState::Ended(at) => now.since(*at) < ATTRIBUTION_MS,
         };
-        self.by_life.retain(|_, check| is_relevant(check));
-        match self.by_life.get_mut(life) {
+        self.by_incarnation.retain(|_, check| is_relevant(check));
+        match self.by_incarnation.get_mut(incarnation) {
             Some(CheckState::Ended(_)) => BreakAction::Report,
             Some(CheckState::Pending(requests)) => {
                 if requests.len() < MAX_BROKEN_REQUESTS && !requests.contains(&request) {
@@ -114,16 +116,16 @@
             }
             None => {
                 let pending = CheckState::Pending(vec![request]);
-                self.by_life.insert(life.clone(), pending);
+                self.by_incarnation.insert(incarnation.clone(), pending);
                 BreakAction::Check
             }
         }
     }
 
     /// Discards the requests that broke off at a target that did not terminate.
-    fn record_alive(&mut self, life: &TargetIncarnation) {
-        if let Some(CheckState::Pending(_)) = self.by_life.get(life) {
-            self.by_life.remove(life);
+    fn record_alive(&mut self, incarnation: &TargetIncarnation) {
+        if let Some(CheckState::Pending(_)) = self.by_incarnation.get(incarnation) {
+            self.by_incarnation.remove(incarnation);
         }
     }
 }
@@ -133,18 +135,18 @@
     /// terminated.
     pub fn handle_request_break(
         self: &Arc<Self>,
-        life: TargetIncarnation,
+        incarnation: TargetIncarnation,
         address: SocketAddr,
         request: RequestFingerprint,
     ) {
         let action = self
             .target_ends()
-            .record_break(self.clock.now(), &life, request);
+            .record_break(self.clock.now(), &incarnation, request);
         match action {
             BreakAction::Check => {
-                tokio::spawn(check_target(self.clone(), life, address));
+                tokio::spawn(check_target(self.clone(), incarnation, address));
             }
-            BreakAction::Report => self.report_terminations(&life, vec![request]),
+            BreakAction::Report => self.report_terminations(&incarnation, vec![request]),
             BreakAction::Wait => {}
         }
     }
@@ -152,12 +154,12 @@
     /// Reports that an incarnation of a target terminated under these requests.
     pub(crate) fn report_terminations(
         &self,
-        life: &TargetIncarnation,
+        incarnation: &TargetIncarnation,
         requests: Vec<RequestFingerprint>,
     ) {
         let report = |request| TerminationReport {
             request,
-            life: life.clone(),
+            life: incarnation.clone(),
             age_ms: 0,
             is_excused: false,
         };
@@ -174,14 +176,14 @@
     Nothing,
 }
 
-async fn check_target(node: Arc<Node>, life: TargetIncarnation, address: SocketAddr) {
+async fn check_target(node: Arc<Node>, incarnation: TargetIncarnation, address: SocketAddr) {
     let started_at = node.clock.now();
     let seen = probe_target(&node, address).await;
     let now = node.clock.now();
     let requests = match seen {
-        CheckResult::Ended => node.target_ends().record_termination(now, &life),
+        CheckResult::Ended => node.target_ends().record_termination(now, &incarnation),
         CheckResult::Lives | CheckResult::Nothing => {
-            node.target_ends().record_alive(&life);
+            node.target_ends().record_alive(&incarnation);
             Vec::new()
         }
     };
@@ -192,13 +194,13 @@
     });
     log::info!(
         event = "target_looked_for",
-        target:% = life.target,
+        target:% = incarnation.target,
         seen:? = seen,
         requests = requests.len() as u64,
         took_ms = now.since(started_at);
         ""
     );
-    node.report_terminations(&life, requests);
+    node.report_terminations(&incarnation, requests);
 }
 
 async fn probe_target(node: &Node, address: SocketAddr) -> CheckResult {
--- a/crates/moleroad_gateway/src/target_notice.rs
+++ b/crates/moleroad_gateway/src/target_notice.rs
@@ -72,10 +72,10 @@
 }
 
 impl TargetNotice {
-    /// Reads the head of an answer. Any value of the leaving header except `0`
-    /// means that the target is leaving: sending to a leaving target loses requests, while avoiding one that
-    /// stays only loses its capacity. Only an unavailable target (503) can ask for a
-    /// backoff; of several times the longest counts.
+    /// Reads the head of an answer. Any value of the leaving header except `0` means that
+    /// the target is leaving: sending to a leaving target loses requests, while avoiding
+    /// one that stays only loses its capacity. Only an unavailable target (503) can ask
+    /// for a backoff; of several times the longest counts.
     pub fn read(names: &HeaderNames, status: StatusCode, headers: &HeaderMap) -> Self {
         let mut values = headers.get_all(&names.leaving).iter();
         let mut notice = Self {
@@ -111,8 +111,8 @@
             .record(now, from, answered_unix_ms, backoff_ms);
         let record = &self.directory.target_at(address)?.record;
         let until = self.backoffs.until(now, &Responder::of(record));
-        if let Some(places) = self.services.get_mut(&record.service) {
-            places.targets.set_backoff(&record.id, until);
+        if let Some(slots) = self.services.get_mut(&record.service) {
+            slots.targets.set_backoff(&record.id, until);
         }
         until
     }
@@ -244,7 +244,7 @@
 
     /// Returns the target at `address`, as known here. The origin of weights is not a
     /// registered target and is identified by its address.
-    pub(crate) fn answerer_at(&self, address: SocketAddr) -> Responder {
+    pub(crate) fn responder_at(&self, address: SocketAddr) -> Responder {
         let view = self.view();
         let observed = view.directory.target_at(address);
         observed.map_or_else(
@@ -261,8 +261,8 @@
     /// `address`, in milliseconds; 0 when it does not.
     pub(crate) fn backoff_left_ms(&self, address: SocketAddr) -> u64 {
         let now = self.clock.now();
-        let answerer = self.answerer_at(address);
-        let until = self.view().backoffs.until(now, &answerer);
+        let responder = self.responder_at(address);
+        let until = self.view().backoffs.until(now, &responder);
         until.map_or(0, |until| until.since(now))
     }
 }
--- a/crates/moleroad_gateway/src/view.rs
+++ b/crates/moleroad_gateway/src/view.rs
@@ -177,8 +177,8 @@
         let Some(table) = &self.table else {
             return;
         };
-        for places in self.services.values_mut() {
-            places.refresh_residency(table);
+        for slots in self.services.values_mut() {
+            slots.refresh_residency(table);
         }
     }
 
--- a/crates/moleroad_gateway/tests/cold.rs
+++ b/crates/moleroad_gateway/tests/cold.rs
@@ -132,7 +132,7 @@
     view.directory.merge_target(Millis(2_200), target(0, 2), 0);
     view.refresh_candidates(Millis(2_200), &settings);
     assert_eq!(admission(&view, 2_200), Admission::Unrestricted);
-    // A relayed report is as old as its age says.
+    // The age of a relayed report counts.
     view.directory
         .merge_target(Millis(9_000), target(2_000, 9), 500);
     view.refresh_candidates(Millis(9_000), &settings);
@@ -285,7 +285,7 @@
     assert_eq!(admission(&view, 7_000), Admission::Unrestricted);
 }
 
-fn ask(left_ms: u64) -> GrantRequest {
+fn grant_request(left_ms: u64) -> GrantRequest {
     GrantRequest {
         requests_per_s: 15.0,
         most_in_a_second: 27.5,
@@ -299,11 +299,11 @@
     assert_eq!(engine.state(Millis(0)).grants, None);
     // The bucket is empty at first, since an earlier process of the agent may just have
     // issued grants.
-    assert!(!engine.grant(Millis(1_000), ask(0)).is_given);
-    let later = |at: u64| engine.grant(Millis(1_000 + at), ask(0)).is_given;
+    assert!(!engine.grant(Millis(1_000), grant_request(0)).is_given);
+    let later = |at: u64| engine.grant(Millis(1_000 + at), grant_request(0)).is_given;
     assert!(later(70) && !later(71));
     assert_eq!(engine.state(Millis(1_071)).left_ms, 0);
-    engine.grant(Millis(1_080), ask(900));
+    engine.grant(Millis(1_080), grant_request(900));
     let state = engine.state(Millis(1_480));
     assert_eq!((state.left_ms, state.age_ms), (500, None));
     engine.engine_started(Millis(1_200));
@@ -317,15 +317,15 @@
 fn an_agent_that_stood_still_begins_with_nothing() {
     let engine = ColdEngine::default();
     engine.record_alive(Millis(1_000));
-    engine.grant(Millis(1_000), ask(0));
+    engine.grant(Millis(1_000), grant_request(0));
     for at in [1_500, 2_000] {
         engine.record_alive(Millis(at));
     }
     assert_eq!(engine.state(Millis(2_000)).grants, Some(3));
     // The agent is suspended for two seconds, and the request of an entry is the first
     // event after it.
-    assert!(!engine.grant(Millis(4_000), ask(0)).is_given);
-    assert!(engine.grant(Millis(4_070), ask(0)).is_given);
+    assert!(!engine.grant(Millis(4_000), grant_request(0)).is_given);
+    assert!(engine.grant(Millis(4_070), grant_request(0)).is_given);
 }
 
 #[test]
@@ -334,7 +334,7 @@
     for at in [10_000, 10_400] {
         engine.record_alive(Millis(at));
     }
-    let given = |at| engine.grant(Millis(at), ask(0)).is_given;
+    let given = |at| engine.grant(Millis(at), grant_request(0)).is_given;
     assert_eq!([given(10_500), given(10_500), given(10_500)], [true; 3]);
     assert!(!given(10_500));
 }
--- a/crates/moleroad_gateway/tests/entries.rs
+++ b/crates/moleroad_gateway/tests/entries.rs
@@ -16,8 +16,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use support::{
-    add_target, ask, entry, entry_with_configuration, entry_with_disk, evacuate, folder, in_flight,
-    request, restarted_entry,
+    add_target, entry, entry_with_configuration, entry_with_disk, evacuate, folder, in_flight,
+    request, restarted_entry, slot_request,
 };
 
 /// Longer than the time between two clock observations above which a process
@@ -46,7 +46,7 @@
 #[tokio::test]
 async fn a_caller_that_leaves_while_its_granted_request_waits_for_news_gives_the_place_back() {
     let node = entry();
-    let request = ask(&node, None);
+    let request = slot_request(&node, None);
     let first = acquire(&node, &request).await.expect("a free slot");
     assert_eq!(in_flight(&node, "i-a"), 1);
     let waiting = tokio::spawn({
@@ -158,7 +158,7 @@
 async fn a_request_whose_targets_are_all_evacuated_is_refused_for_that_at_once() {
     let node = entry();
     evacuate(&node, "hall-a");
-    let refused = acquire(&node, &ask(&node, None)).await.err();
+    let refused = acquire(&node, &slot_request(&node, None)).await.err();
     let refused = refused.expect("no eligible target");
     assert_eq!(refused.cause, NoPlaceCause::Evacuated);
     let mut attempts = Attempts::new(node.clone(), request(&node, 1_500));
@@ -176,7 +176,7 @@
 #[tokio::test]
 async fn a_request_whose_only_allowed_target_had_it_may_come_back_soon() {
     let node = entry();
-    let mut restricted = ask(&node, Some("restricted"));
+    let mut restricted = slot_request(&node, Some("restricted"));
     restricted.tried = vec![TargetId::new("i-a")];
     // No connection was established, so no target rejected the request.
     let refused = acquire(&node, &restricted).await.err().expect("no target");
--- a/crates/moleroad_gateway/tests/evacuations.rs
+++ b/crates/moleroad_gateway/tests/evacuations.rs
@@ -37,13 +37,13 @@
     let steps = [
         (order("a", false, 0), AlreadySo, state(false, 0)),
         (order("a", true, 0), Changed, state(true, 1)),
-        // Its answer was lost: sent again, to a daemon that knows the new state or not.
+        // Sent again after its answer was lost, to a daemon with the old or the new state.
         (order("a", true, 0), AlreadySo, state(true, 1)),
         (order("a", true, 1), AlreadySo, state(true, 1)),
-        // From a daemon that does not know of the evacuation.
+        // Sent by a daemon that does not know of the evacuation.
         (order("a", false, 0), Overtaken, state(true, 1)),
         (order("a", false, 1), Changed, state(false, 2)),
-        // One that was delayed in a frozen daemon since the first evacuation.
+        // Orders that a frozen daemon delayed since the first evacuation.
         (order("a", true, 0), Overtaken, state(false, 2)),
         (order("a", true, 1), Overtaken, state(false, 2)),
         (order("a", true, 2), Changed, state(true, 3)),
@@ -53,8 +53,12 @@
         (order("a", false, 7), Changed, state(false, 8)),
     ];
     for (order, outcome, state) in steps {
-        let verdict = halls.apply(&order);
-        assert_eq!(verdict, HallOrderResult { outcome, state }, "{order:?}");
+        let order_result = halls.apply(&order);
+        assert_eq!(
+            order_result,
+            HallOrderResult { outcome, state },
+            "{order:?}"
+        );
         assert_eq!(halls.state_of("a"), state);
         assert_eq!(outcome.is_satisfied(), state.evacuated == order.evacuated);
     }
@@ -83,17 +87,17 @@
             let before = log.state_of(hall);
             let stale_by = random.random_range(0..3);
             let based_on = before.revision.0.saturating_sub(stale_by);
-            let verdict = log.apply(&order(hall, random.random(), based_on));
-            let step = u64::from(verdict.outcome == HallOrderOutcome::Changed);
-            assert_eq!(verdict.state.revision.0, before.revision.0 + step);
+            let order_result = log.apply(&order(hall, random.random(), based_on));
+            let step = u64::from(order_result.outcome == HallOrderOutcome::Changed);
+            assert_eq!(order_result.state.revision.0, before.revision.0 + step);
             history.push(log.clone());
         }
         let mut daemons = [Evacuations::default(), Evacuations::default()];
         for daemon in &mut daemons {
             history.shuffle(&mut random);
-            for news in &history {
+            for update in &history {
                 let before = daemon.clone();
-                let changed = daemon.merge(news);
+                let changed = daemon.merge(update);
                 assert_eq!(changed, *daemon != before);
                 for (hall, held) in before.iter() {
                     let after = daemon.state_of(hall);
@@ -101,7 +105,7 @@
                     assert!(after.revision > held.revision || after == held);
                 }
                 assert!(
-                    !daemon.merge(news),
+                    !daemon.merge(update),
                     "a second merge of the same state changes nothing"
                 );
             }
@@ -198,11 +202,11 @@
 fn a_daemon_without_evacuations_spends_one_byte_on_them() {
     let none = rmp_serde::to_vec(&HallUpdates::new()).unwrap();
     assert_eq!(none.len(), 1);
-    let news = HallUpdate {
+    let update = HallUpdate {
         state: state(true, 1),
         age_ms: 900,
     };
-    let one = rmp_serde::to_vec(&HallUpdates::from([("hall-a".to_string(), news)])).unwrap();
+    let one = rmp_serde::to_vec(&HallUpdates::from([("hall-a".to_string(), update)])).unwrap();
     assert!(one.len() < 24, "{}", one.len());
 }
 
@@ -222,7 +226,7 @@
     assert!(
         process.must_wait_for_updates(Millis(9_000)) && process.may_read_backlog(Millis(9_000))
     );
-    // An answer that was waiting in its sockets contains nothing that happened later.
+    // An answer that waited in the sockets of the process has no later changes.
     process.news_received(Millis(2_900));
     assert!(process.must_wait_for_updates(Millis(9_010)));
     process.news_received(Millis(9_005));
@@ -230,7 +234,7 @@
     assert!(process.may_read_backlog(Millis(9_299)));
     assert!(!process.may_read_backlog(Millis(9_300)));
 
-    // When it reaches nobody, it continues with its known state.
+    // A process that reaches no other daemon continues with its known state.
     assert!(process.observe(Millis(20_000)));
     assert!(process.must_wait_for_updates(Millis(20_999)));
     assert!(!process.must_wait_for_updates(Millis(21_000)));
@@ -246,7 +250,7 @@
     process.news_received(Millis(5_020));
     assert!(!process.must_wait_for_updates(Millis(5_030)));
 
-    // A process that reaches nobody continues with its known state.
+    // A process that reaches no other daemon continues with its known state.
     let mut alone = SuspensionDetector::with_stored_state(Millis(5_000));
     for now in (5_000..6_000).step_by(50) {
         assert!(!alone.observe(Millis(now)));
--- a/crates/moleroad_gateway/tests/fan_out.rs
+++ b/crates/moleroad_gateway/tests/fan_out.rs
@@ -24,11 +24,11 @@
 fn is_gone(node: &Node) -> bool {
     let view = node.view();
     let target = view.directory.target(&TargetId::new("i-a"));
-    target.is_some_and(|heard| heard.record.life == TargetLifecycle::Gone)
+    target.is_some_and(|observed| observed.record.life == TargetLifecycle::Gone)
 }
 
-/// Creates an entry and others that it knows, all of which know one target.
-/// Those numbered in `silent` do not answer.
+/// Creates an entry and the other entries known to it; all of them know one target.
+/// The entries whose numbers are in `silent` do not answer.
 fn entries(silent: &[usize]) -> (Arc<Node>, Vec<Arc<Node>>) {
     let caller = entry();
     let mut others = Vec::new();
--- a/crates/moleroad_gateway/tests/hall_orders.rs
+++ b/crates/moleroad_gateway/tests/hall_orders.rs
@@ -35,7 +35,7 @@
 }
 
 /// Returns the result of the order at `index`.
-fn verdict(commands: &[Vec<u8>], index: LogIndex, order: &HallOrder) -> HallOrderResult {
+fn order_result(commands: &[Vec<u8>], index: LogIndex, order: &HallOrder) -> HallOrderResult {
     let before = (index.0 - FOUNDED.0) as usize - 1;
     assert_eq!(commands[before], bytes(order));
     replay(&commands[..before]).evacuations.apply(order)
@@ -107,10 +107,10 @@
         if applied.len() < (index.0 - FOUNDED.0) as usize {
             return None;
         }
-        let verdict = verdict(applied, index, order);
+        let order_result = order_result(applied, index, order);
         self.answered.insert(index);
-        self.views[daemon].merge_hall(HALL, verdict.state);
-        Some(verdict)
+        self.views[daemon].merge_hall(HALL, order_result.state);
+        Some(order_result)
     }
 
     fn inject_fault(&mut self) {
@@ -153,12 +153,14 @@
             if self.group.random.random_range(0..6) == 0 {
                 self.delayed.push(order.clone());
             }
-            let verdict = proposed.and_then(|after| self.answer(daemon, &order, after));
+            let order_result = proposed.and_then(|after| self.answer(daemon, &order, after));
             // The answer may be lost on its way to the operator.
             let is_lost = self.group.random.random_range(0..4) == 0;
-            if let Some(verdict) = verdict.filter(|v| v.outcome.is_satisfied() && !is_lost) {
-                assert_eq!(verdict.state.evacuated, evacuated);
-                return verdict.state;
+            if let Some(order_result) =
+                order_result.filter(|v| v.outcome.is_satisfied() && !is_lost)
+            {
+                assert_eq!(order_result.state.evacuated, evacuated);
+                return order_result.state;
             }
             self.exchange_views();
         }
@@ -268,8 +270,8 @@
             let span = simulation.group.random.random_range(20..1_500);
             simulation.group.run(span);
             for ((daemon, order), after) in orders.iter().zip(after) {
-                let verdict = after.and_then(|after| simulation.answer(*daemon, order, after));
-                let changed = verdict.filter(|v| v.outcome == HallOrderOutcome::Changed);
+                let order_result = after.and_then(|after| simulation.answer(*daemon, order, after));
+                let changed = order_result.filter(|v| v.outcome == HallOrderOutcome::Changed);
                 changes += u64::from(changed.is_some());
             }
             simulation.exchange_views();
--- a/crates/moleroad_gateway/tests/halls.rs
+++ b/crates/moleroad_gateway/tests/halls.rs
@@ -122,35 +122,35 @@
     };
     assert_eq!(targets(&view), 8);
     apply_updates(&mut view, 2_000, &updates("hall-a", 1, true, 0));
-    let places = &view.services["plain"];
-    assert_eq!(places.targets.total_slots(&AllowedRegions::all()), 4);
+    let slots = &view.services["plain"];
+    assert_eq!(slots.targets.total_slots(&AllowedRegions::all()), 4);
     assert_eq!(
-        places
+        slots
             .targets
             .free_slots(Millis(2_000), &AllowedRegions::all()),
         4.0
     );
-    assert!(places.targets.any_eligible(needs) && !places.targets.all_evacuated(needs));
+    assert!(slots.targets.any_eligible(needs) && !slots.targets.all_evacuated(needs));
     for draw in 0..50 {
-        match places.targets.choose(Millis(2_000), needs, draw) {
+        match slots.targets.choose(Millis(2_000), needs, draw) {
             Choice::Send(candidate) => assert_eq!(candidate.id.as_str(), "i-bb"),
             other => panic!("{other:?}"),
         }
     }
     // A target that was probed before the update is not chosen either.
-    let looked_at: Vec<Candidate> = places.targets.candidates().to_vec();
-    let best = places.targets.best_of(Millis(2_000), needs, &looked_at);
+    let looked_at: Vec<Candidate> = slots.targets.candidates().to_vec();
+    let best = slots.targets.best_of(Millis(2_000), needs, &looked_at);
     assert_eq!(best.unwrap().id.as_str(), "i-bb");
     // A slot that was granted there before is no longer eligible.
-    assert!(!places.targets.is_eligible(&TargetId::new("i-a"), needs));
-    assert!(places.targets.is_eligible(&TargetId::new("i-bb"), needs));
-    assert_eq!(places.targets.count_not_evacuated(), 1);
+    assert!(!slots.targets.is_eligible(&TargetId::new("i-a"), needs));
+    assert!(slots.targets.is_eligible(&TargetId::new("i-bb"), needs));
+    assert_eq!(slots.targets.count_not_evacuated(), 1);
 
     apply_updates(&mut view, 3_000, &updates("hall-b", 1, true, 0));
-    let places = &view.services["plain"];
-    assert!(places.targets.all_evacuated(needs) && !places.targets.any_eligible(needs));
+    let slots = &view.services["plain"];
+    assert!(slots.targets.all_evacuated(needs) && !slots.targets.any_eligible(needs));
     assert_eq!(
-        places.targets.choose(Millis(3_000), needs, 1),
+        slots.targets.choose(Millis(3_000), needs, 1),
         Choice::NoTarget
     );
     apply_updates(&mut view, 4_000, &updates("hall-a", 2, false, 0));
--- a/crates/moleroad_gateway/tests/quarantine.rs
+++ b/crates/moleroad_gateway/tests/quarantine.rs
@@ -1,5 +1,5 @@
-//! Requests under which targets terminated: how an entry handles one that arrives, one
-//! that waits for a slot, and one that is at a target.
+//! Tests how an entry handles a quarantined request, under which targets terminated:
+//! on arrival, while it waits for a slot, and while a target runs it.
 
 mod support;
 
@@ -18,14 +18,14 @@
 use moleroad_quarantine::prelude::*;
 use std::sync::Arc;
 use std::time::Duration;
-use support::{ask, entry, entry_with_disk, folder, request};
+use support::{entry, entry_with_disk, folder, request, slot_request};
 
 /// Timeout for events that must happen.
 const TIMEOUT: Duration = Duration::from_secs(20);
-/// The fingerprint of [`support::ask`] and [`support::request`].
+/// The fingerprint of [`support::slot_request`] and [`support::request`].
 const REQUEST: RequestFingerprint = RequestFingerprint([0; 16]);
 
-fn end(number: usize) -> TerminationReport {
+fn termination(number: usize) -> TerminationReport {
     TerminationReport {
         request: REQUEST,
         life: TargetIncarnation {
@@ -39,7 +39,7 @@
 
 /// Reports to the entry that this many targets terminated under the request.
 fn report_terminations(node: &Node, ends: usize) {
-    node.receive_target_ends((0..ends).map(end).collect());
+    node.receive_target_ends((0..ends).map(termination).collect());
 }
 
 #[tokio::test]
@@ -47,7 +47,7 @@
     let node = entry();
     report_terminations(&node, TERMINATIONS_TO_HOLD - 1);
     drop(
-        acquire(&node, &ask(&node, None))
+        acquire(&node, &slot_request(&node, None))
             .await
             .expect("a free slot"),
     );
@@ -69,7 +69,7 @@
     };
     assert!(body.starts_with(b"MR-6216"));
     // Another request is accepted as before.
-    let mut other = ask(&node, None);
+    let mut other = slot_request(&node, None);
     other.fingerprint = RequestFingerprint([1; 16]);
     assert!(acquire(&node, &other).await.is_ok());
 }
@@ -77,12 +77,12 @@
 #[tokio::test]
 async fn a_request_that_waits_for_a_place_is_refused_at_once() {
     let node = entry();
-    let mut other = ask(&node, None);
+    let mut other = slot_request(&node, None);
     other.fingerprint = RequestFingerprint([1; 16]);
-    let _only_place = acquire(&node, &other).await.expect("a free slot");
+    let _only_slot = acquire(&node, &other).await.expect("a free slot");
     let waiting = tokio::spawn({
-        let (node, ask) = (node.clone(), ask(&node, None));
-        async move { acquire(&node, &ask).await.err() }
+        let (node, slot_request) = (node.clone(), slot_request(&node, None));
+        async move { acquire(&node, &slot_request).await.err() }
     });
     while node.view().services["plain"].waiting() == 0 {
         tokio::time::sleep(Duration::from_millis(5)).await;
@@ -102,32 +102,32 @@
 async fn a_request_that_has_not_begun_at_its_target_is_wanted_there_no_more() {
     let node = entry();
     let attempts = Attempts::new(node.clone(), request(&node, 1_500));
-    let place = acquire(&node, &ask(&node, None))
+    let slot = acquire(&node, &slot_request(&node, None))
         .await
         .expect("a free slot");
-    assert!(!attempts.is_start_forbidden(&place));
+    assert!(!attempts.is_start_forbidden(&slot));
     report_terminations(&node, TERMINATIONS_TO_HOLD);
-    assert!(attempts.is_start_forbidden(&place));
+    assert!(attempts.is_start_forbidden(&slot));
 }
 
 #[tokio::test]
 async fn a_request_that_ran_to_a_good_end_lately_is_not_held_and_others_hear_of_it() {
     let node = entry();
-    node.note_success(REQUEST);
+    node.record_success(REQUEST);
     report_terminations(&node, TERMINATIONS_TO_HOLD);
-    assert!(acquire(&node, &ask(&node, None)).await.is_ok());
+    assert!(acquire(&node, &slot_request(&node, None)).await.is_ok());
     let (reports, _) = node.view().target_ends_since(node.clock.now(), 0);
     assert_eq!(reports.len(), TERMINATIONS_TO_HOLD);
-    assert!(reports.iter().all(|end| end.is_excused));
+    assert!(reports.iter().all(|termination| termination.is_excused));
 }
 
 #[tokio::test]
 async fn a_good_end_that_comes_later_lets_a_held_request_go_again() {
     let node = entry();
     report_terminations(&node, TERMINATIONS_TO_HOLD);
-    assert!(acquire(&node, &ask(&node, None)).await.is_err());
-    node.note_success(REQUEST);
-    assert!(acquire(&node, &ask(&node, None)).await.is_ok());
+    assert!(acquire(&node, &slot_request(&node, None)).await.is_err());
+    node.record_success(REQUEST);
+    assert!(acquire(&node, &slot_request(&node, None)).await.is_ok());
 }
 
 #[test]
@@ -141,18 +141,18 @@
     let one = TerminationReport {
         life,
         age_ms: 3_000_000,
-        ..end(1)
+        ..termination(1)
     };
     let bytes = rmp_serde::to_vec(&one).unwrap().len();
     assert!(bytes < 50, "{bytes}");
 }
 
-/// Starts an entry that is its own control group and holds a request that ran alongside
-/// another held one at each termination.
+/// Starts an entry that is the only member of its control group and holds a request.
+/// At each termination, another request, which is held too, ran on the same target.
 async fn entry_with_doubtful_hold(name: &str) -> Arc<Node> {
     let node = entry_with_disk(&folder(name));
-    let core = node.control_member.clone().expect("a member with a disk");
-    while core.read().await.is_err() {
+    let control_member = node.control_member.clone().expect("a member with a disk");
+    while control_member.read().await.is_err() {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     let address = node.settings.peer_address();
@@ -160,7 +160,7 @@
     report_terminations(&node, TERMINATIONS_TO_HOLD);
     let alongside = (0..TERMINATIONS_TO_HOLD).map(|number| TerminationReport {
         request: RequestFingerprint([1; 16]),
-        ..end(number)
+        ..termination(number)
     });
     node.receive_target_ends(alongside.collect());
     node
@@ -184,15 +184,15 @@
     for _ in 0..3 {
         assert!(!trial::obtain(&node, &request(&node, 5_000)).await);
     }
-    let refused = acquire(&node, &ask(&node, None)).await.err();
+    let refused = acquire(&node, &slot_request(&node, None)).await.err();
     let refused = refused.expect("no free slot");
     assert_eq!(refused.cause, NoPlaceCause::Quarantined);
     assert!(refused.retry_after_ms < TERMINATION_TTL_MS / 100);
-    let mut tried = ask(&node, None);
+    let mut tried = slot_request(&node, None);
     tried.is_trial = true;
-    let place = acquire(&node, &tried).await.expect("a free slot");
+    let slot = acquire(&node, &tried).await.expect("a free slot");
     let attempts = Attempts::new(node.clone(), first);
-    assert!(!attempts.is_start_forbidden(&place));
+    assert!(!attempts.is_start_forbidden(&slot));
 }
 
 #[tokio::test]
@@ -214,8 +214,8 @@
 async fn a_good_end_releases_what_the_control_group_keeps() {
     let node = entry_with_doubtful_hold("good-end-releases").await;
     commit_hold(&node).await;
-    node.note_success(REQUEST);
-    assert!(acquire(&node, &ask(&node, None)).await.is_ok());
+    node.record_success(REQUEST);
+    assert!(acquire(&node, &slot_request(&node, None)).await.is_ok());
     let now = node.clock.unix_time();
     assert!(node.view().state.hold_left_ms(now, &REQUEST).is_some());
     node.submit_releases();
@@ -264,7 +264,7 @@
     let mut attempts = Attempts::new(node.clone(), request(&node, 5_000));
     let excused = (0..TERMINATIONS_TO_HOLD).map(|number| TerminationReport {
         is_excused: true,
-        ..end(number)
+        ..termination(number)
     });
     let report = async {
         node.receive_target_ends(excused.collect());
--- a/crates/moleroad_gateway/tests/support/mod.rs
+++ b/crates/moleroad_gateway/tests/support/mod.rs
@@ -55,7 +55,7 @@
 }
 
 /// Returns an entry without a disk and with one target, `i-a` in `hall-a` of region
-/// `r`, which has one place.
+/// `r`, which has one slot.
 pub fn entry() -> Arc<Node> {
     let clock = Clock::default();
     let settings = settings("e", 1);
@@ -75,7 +75,7 @@
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
     let clock = Clock::default();
     let own = MemberInfo::new(MemberId(1), "e", address);
-    let core = MemberSettings {
+    let member_settings = MemberSettings {
         folder: folder.to_path_buf(),
         initial_id: own.id,
         instance: "e".into(),
@@ -84,9 +84,14 @@
         tolerated_losses: 1,
     };
     let (output, _) = mpsc::unbounded_channel();
-    let core = ControlMember::start(core, clock, output).unwrap();
+    let control_member = ControlMember::start(member_settings, clock, output).unwrap();
     let settings = settings("e", 1);
-    with_one_target(Node::new(settings, clock, stub_interface(), Some(core)))
+    with_one_target(Node::new(
+        settings,
+        clock,
+        stub_interface(),
+        Some(control_member),
+    ))
 }
 
 /// Returns the only member of a control group; it serves calls of other daemons.
@@ -95,7 +100,7 @@
     let address = listener.local_addr().unwrap();
     let clock = Clock::default();
     let own = MemberInfo::new(MemberId(1), name, address);
-    let core = MemberSettings {
+    let member_settings = MemberSettings {
         folder: folder(name),
         initial_id: own.id,
         instance: name.into(),
@@ -104,9 +109,14 @@
         tolerated_losses: 0,
     };
     let (output, _) = mpsc::unbounded_channel();
-    let core = ControlMember::start(core, clock, output).unwrap();
+    let control_member = ControlMember::start(member_settings, clock, output).unwrap();
     let settings = settings(name, address.port());
-    let node = Arc::new(Node::new(settings, clock, stub_interface(), Some(core)));
+    let node = Arc::new(Node::new(
+        settings,
+        clock,
+        stub_interface(),
+        Some(control_member),
+    ));
     tokio::spawn(peer_server::serve(node.clone(), listener));
     node
 }
@@ -125,11 +135,11 @@
 pub async fn restarted_entry(name: &str) -> Arc<Node> {
     let folder = folder(name);
     let earlier = entry_with_disk(&folder);
-    let core = earlier.control_member.clone().unwrap();
-    while core.read().await.is_err() {
+    let control_member = earlier.control_member.clone().unwrap();
+    while control_member.read().await.is_err() {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    drop((core, earlier));
+    drop((control_member, earlier));
     entry_with_disk(&folder)
 }
 
@@ -175,7 +185,7 @@
     Arc::new(node)
 }
 
-/// Adds a target with one place in region `r` to the entry's directory.
+/// Adds a target with one slot in region `r` to the entry's directory.
 pub fn add_target(node: &Node, id: &str, hall: &str, address: SocketAddr) {
     let target = TargetRecord {
         id: TargetId::new(id),
@@ -196,9 +206,9 @@
     view.refresh_candidates(now, &node.settings);
 }
 
-/// Returns the place requirements of a request that waits for up to 10 s, sent with
+/// Returns the slot requirements of a request that waits for up to 10 s, sent with
 /// this API key.
-pub fn ask(node: &Node, key: Option<&str>) -> PlaceRequest {
+pub fn slot_request(node: &Node, key: Option<&str>) -> PlaceRequest {
     let table = node.view().table.clone().unwrap();
     let until = node.clock.now() + 10_000;
     PlaceRequest {
@@ -208,9 +218,9 @@
         may_have_run: false,
         prompt_tokens: 0,
         priority: 1,
-        wanted_by: None,
+        latency_deadline: None,
         until,
-        line: WaitClass::InTime,
+        class: WaitClass::InTime,
         residency: Residency::new(&table, "host", "/", key),
         fingerprint: RequestFingerprint([0; 16]),
         is_trial: false,
@@ -223,11 +233,11 @@
         revision: HallRevision(1),
         evacuated: true,
     };
-    let news = HallUpdates::from([(hall.to_string(), HallUpdate { state, age_ms: 0 })]);
-    node.apply_hall_updates(&news, UpdateSource::Push);
+    let updates = HallUpdates::from([(hall.to_string(), HallUpdate { state, age_ms: 0 })]);
+    node.apply_hall_updates(&updates, UpdateSource::Push);
 }
 
-/// Returns the number of this entry's requests that hold a place at a target.
+/// Returns the number of this entry's requests that hold a slot at a target.
 pub fn in_flight(node: &Node, id: &str) -> u32 {
     let view = node.view();
     let targets = &view.services[SERVICE].targets;
@@ -237,7 +247,7 @@
 /// Returns a request that must be answered within `ms` milliseconds and must not be
 /// retried once it may have run.
 pub fn request(node: &Node, ms: u64) -> AcceptedRequest {
-    let ask = ask(node, None);
+    let slot_request = slot_request(node, None);
     let arrived = node.clock.now();
     let route = Route {
         name: "r".into(),
@@ -269,7 +279,7 @@
         caller_deadline: None,
         until: arrived + ms,
         prompt_tokens: 0,
-        residency: ask.residency,
+        residency: slot_request.residency,
         last_event: None,
         fingerprint: RequestFingerprint([0; 16]),
         is_trial: false,
--- a/crates/moleroad_gateway/tests/target_notices.rs
+++ b/crates/moleroad_gateway/tests/target_notices.rs
@@ -16,7 +16,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
-use support::{add_target, ask, entry, evacuate, in_flight, request};
+use support::{add_target, entry, evacuate, in_flight, request, slot_request};
 use tokio::task::JoinHandle;
 
 /// A backoff longer than every wait in these tests, in milliseconds.
@@ -28,7 +28,7 @@
     SocketAddr::from(([127, 0, 0, 2], last))
 }
 
-/// Lets the target at that port ask this entry to back off.
+/// Records that the target at this address asked the entry to back off.
 fn request_backoff(node: &Node, id: &str, port: u16, backoff_ms: u64) -> Option<Millis> {
     let from = Responder {
         address: address_of(port),
@@ -54,7 +54,7 @@
 async fn send_one_and_queue_one(
     node: &Arc<Node>,
 ) -> (ReservedSlot, JoinHandle<Result<(), NoPlace>>) {
-    let request = ask(node, None);
+    let request = slot_request(node, None);
     let first = acquire(node, &request).await.expect("a free slot");
     let waiting = tokio::spawn({
         let node = node.clone();
@@ -138,7 +138,7 @@
     request_backoff(&node, "i-a", 1, 2 * LONG_BACKOFF_MS);
     request_backoff(&node, "i-b", 2, LONG_BACKOFF_MS);
     for key in [None, Some("restricted")] {
-        let refused = acquire(&node, &ask(&node, key)).await.err();
+        let refused = acquire(&node, &slot_request(&node, key)).await.err();
         let refused = refused.expect("both are in backoff");
         assert_eq!(refused.cause, NoPlaceCause::Resting);
         assert!(refused.retry_after_ms > LONG_BACKOFF_MS - 1_000);
@@ -164,7 +164,10 @@
     request_backoff(&node, "i-a", 1, LONG_BACKOFF_MS);
     // The released slot is no longer for the waiting request.
     drop(first);
-    let refused = waiting.await.unwrap().expect_err("its target rests");
+    let refused = waiting
+        .await
+        .unwrap()
+        .expect_err("its target is in backoff");
     assert_eq!(refused.cause, NoPlaceCause::Resting);
     assert_eq!(in_flight(&node, "i-a"), 0);
     assert_eq!(node.view().services["plain"].waiting(), 0);
@@ -179,7 +182,10 @@
     drop(first);
     assert_eq!(in_flight(&node, "i-a"), 1);
     request_backoff(&node, "i-a", 1, LONG_BACKOFF_MS);
-    let refused = waiting.await.unwrap().expect_err("its target rests");
+    let refused = waiting
+        .await
+        .unwrap()
+        .expect_err("its target is in backoff");
     assert_eq!(refused.cause, NoPlaceCause::Resting);
     assert_eq!(in_flight(&node, "i-a"), 0);
 }
@@ -189,12 +195,12 @@
     let node = entry();
     let until =
         request_backoff(&node, "i-a", 1, SHORT_BACKOFF_MS).expect("the target is in backoff");
-    let request = ask(&node, None);
-    let place = tokio::select! {
-        place = acquire(&node, &request) => place,
+    let request = slot_request(&node, None);
+    let slot = tokio::select! {
+        slot = acquire(&node, &request) => slot,
         () = run_housekeeping(&node) => unreachable!(),
     };
-    assert!(place.is_ok());
+    assert!(slot.is_ok());
     assert!(node.clock.now() >= until);
 }
 
@@ -215,7 +221,7 @@
     // The backoff also persists while the target is not registered.
     node.view().services.clear();
     node.view().refresh_candidates(now, &node.settings);
-    let refused = acquire(&node, &ask(&node, None)).await.err();
+    let refused = acquire(&node, &slot_request(&node, None)).await.err();
     assert_eq!(
         refused.expect("the target is in backoff").cause,
         NoPlaceCause::Resting
@@ -225,7 +231,7 @@
 #[tokio::test]
 async fn a_request_that_all_known_targets_turned_away_may_come_back_soon() {
     let node = entry();
-    let mut request = ask(&node, None);
+    let mut request = slot_request(&node, None);
     request.tried = vec![TargetId::new("i-a")];
     request.was_sent = true;
     let refused = acquire(&node, &request)
@@ -242,7 +248,7 @@
 #[tokio::test]
 async fn a_stream_that_began_waits_for_another_target() {
     let node = entry();
-    let mut request = ask(&node, None);
+    let mut request = slot_request(&node, None);
     request.tried = vec![TargetId::new("i-a")];
     (request.was_sent, request.may_have_run) = (true, true);
     request_backoff(&node, "i-a", 1, LONG_BACKOFF_MS);
@@ -263,7 +269,7 @@
     add_target(&node, "i-b", "hall-b", address_of(2));
     evacuate(&node, "hall-b");
     request_backoff(&node, "i-a", 1, LONG_BACKOFF_MS);
-    let refused = acquire(&node, &ask(&node, None)).await.err();
+    let refused = acquire(&node, &slot_request(&node, None)).await.err();
     assert_eq!(
         refused.expect("no target is available").cause,
         NoPlaceCause::Resting
