--- a/crates/moleroad_gateway/tests/target_notices.rs
+++ b/crates/moleroad_gateway/tests/target_notices.rs
@@ -16,7 +16,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
-use support::{add_target, ask, entry, evacuate, in_flight, request};
+use support::{add_target, entry, evacuate, in_flight, request, slot_request};
 use tokio::task::JoinHandle;
 
 /// A backoff longer than every wait in these tests, in milliseconds.
@@ -28,7 +28,7 @@
     SocketAddr::from(([127, 0, 0, 2], last))
 }
 
-/// Lets the target at that port ask this entry to back off.
+/// Records that the target at this address asked the entry to back off.
 fn request_backoff(node: &Node, id: &str, port: u16, backoff_ms: u64) -> Option<Millis> {
     let from = Responder {
         address: address_of(port),
@@ -54,7 +54,7 @@
 async fn send_one_and_queue_one(
     node: &Arc<Node>,
 ) -> (ReservedSlot, JoinHandle<Result<(), NoPlace>>) {
-    let request = ask(node, None);
+    let request = slot_request(node, None);
     let first = acquire(node, &request).await.expect("a free slot");
     let waiting = tokio::spawn({
         let node = node.clone();
@@ -138,7 +138,7 @@
     request_backoff(&node, "i-a", 1, 2 * LONG_BACKOFF_MS);
     request_backoff(&node, "i-b", 2, LONG_BACKOFF_MS);
     for key in [None, Some("restricted")] {
-        let refused = acquire(&node, &ask(&node, key)).await.err();
+        let refused = acquire(&node, &slot_request(&node, key)).await.err();
         let refused = refused.expect("both are in backoff");
         assert_eq!(refused.cause, NoPlaceCause::Resting);
         assert!(refused.retry_after_ms > LONG_BACKOFF_MS - 1_000);
@@ -164,7 +164,10 @@
     request_backoff(&node, "i-a", 1, LONG_BACKOFF_MS);
     // The released slot is no longer for the waiting request.
     drop(first);
-    let refused = waiting.await.unwrap().expect_err("its target rests");
+    let refused = waiting
+        .await
+        .unwrap()
+        .expect_err("its target is in backoff");
     assert_eq!(refused.cause, NoPlaceCause::Resting);
     assert_eq!(in_flight(&node, "i-a"), 0);
     assert_eq!(node.view().services["plain"].waiting(), 0);
@@ -179,7 +182,10 @@
     drop(first);
     assert_eq!(in_flight(&node, "i-a"), 1);
     request_backoff(&node, "i-a", 1, LONG_BACKOFF_MS);
-    let refused = waiting.await.unwrap().expect_err("its target rests");
+    let refused = waiting
+        .await
+        .unwrap()
+        .expect_err("its target is in backoff");
     assert_eq!(refused.cause, NoPlaceCause::Resting);
     assert_eq!(in_flight(&node, "i-a"), 0);
 }
@@ -189,12 +195,12 @@
     let node = entry();
     let until =
         request_backoff(&node, "i-a", 1, SHORT_BACKOFF_MS).expect("the target is in backoff");
-    let request = ask(&node, None);
-    let place = tokio::select! {
-        place = acquire(&node, &request) => place,
+    let request = slot_request(&node, None);
+    let slot = tokio::select! {
+        slot = acquire(&node, &request) => slot,
         () = run_housekeeping(&node) => unreachable!(),
     };
-    assert!(place.is_ok());
+    assert!(slot.is_ok());
     assert!(node.clock.now() >= until);
 }
 
@@ -215,7 +221,7 @@
     // The backoff also persists while the target is not registered.
     node.view().services.clear();
     node.view().refresh_candidates(now, &node.settings);
-    let refused = acquire(&node, &ask(&node, None)).await.err();
+    let refused = acquire(&node, &slot_request(&node, None)).await.err();
     assert_eq!(
         refused.expect("the target is in backoff").cause,
         NoPlaceCause::Resting
@@ -225,7 +231,7 @@
 #[tokio::test]
 async fn a_request_refused_by_all_known_targets_gets_a_short_retry_time() {
     let node = entry();
-    let mut request = ask(&node, None);
+    let mut request = slot_request(&node, None);
     request.tried = vec![TargetId::new("i-a")];
     request.was_sent = true;
     let refused = acquire(&node, &request)
@@ -242,7 +248,7 @@
 #[tokio::test]
 async fn a_started_stream_waits_for_another_target() {
     let node = entry();
-    let mut request = ask(&node, None);
+    let mut request = slot_request(&node, None);
     request.tried = vec![TargetId::new("i-a")];
     (request.was_sent, request.may_have_run) = (true, true);
     request_backoff(&node, "i-a", 1, LONG_BACKOFF_MS);
@@ -263,7 +269,7 @@
     add_target(&node, "i-b", "hall-b", address_of(2));
     evacuate(&node, "hall-b");
     request_backoff(&node, "i-a", 1, LONG_BACKOFF_MS);
-    let refused = acquire(&node, &ask(&node, None)).await.err();
+    let refused = acquire(&node, &slot_request(&node, None)).await.err();
     assert_eq!(
         refused.expect("no target is available").cause,
         NoPlaceCause::Resting
