--- a/crates/moleroad_directory/src/entry_addresses.rs
+++ b/crates/moleroad_directory/src/entry_addresses.rs
@@ -23,7 +23,7 @@
     /// added. Other entries are returned only if there are none of these, because a
     /// request body must not be held in a region that is not allowed.
     ///
-    /// If there are more candidates than an answer contains, `draw` selects among them,
+    /// If there are more candidates than an answer contains, `random` selects among them,
     /// so that over many answers each is returned equally often.
     pub fn entry_addresses_for(
         &self,
@@ -31,7 +31,7 @@
         hall: &str,
         region: &str,
         allowed: &AllowedRegions,
-        draw: u64,
+        random: u64,
     ) -> Vec<SocketAddr> {
         let excluded = self.excluded_relays(now, hall);
         let mut ranked: Vec<(Proximity, u64, SocketAddr)> = self
@@ -39,7 +39,7 @@
             .filter(|entry| !excluded.contains(&&entry.instance))
             .filter_map(|entry| {
                 let proximity = proximity(entry, hall, region, allowed);
-                Some((proximity, random_rank(draw, entry), entry.frontend?))
+                Some((proximity, random_rank(random, entry), entry.frontend?))
             })
             .collect();
         ranked.sort();
@@ -72,9 +72,9 @@
     }
 }
 
-fn random_rank(draw: u64, entry: &DaemonRecord) -> u64 {
+fn random_rank(random: u64, entry: &DaemonRecord) -> u64 {
     let mut hasher = DefaultHasher::new();
-    draw.hash(&mut hasher);
+    random.hash(&mut hasher);
     entry.instance.hash(&mut hasher);
     hasher.finish()
 }
--- a/crates/moleroad_directory/tests/directory.rs
+++ b/crates/moleroad_directory/tests/directory.rs
@@ -33,10 +33,10 @@
 fn a_late_heartbeat_does_not_bring_a_leaving_target_back() {
     let mut directory = Directory::new();
     directory.merge_target(Millis(0), target("a", 1, 1), 0);
-    let mut leaving = target("a", 1, 5);
-    leaving.life = TargetLifecycle::Draining;
+    let mut draining = target("a", 1, 5);
+    draining.life = TargetLifecycle::Draining;
     assert_eq!(
-        directory.merge_target(Millis(10), leaving, 0),
+        directory.merge_target(Millis(10), draining, 0),
         TargetChange::Changed
     );
     assert_eq!(
@@ -277,9 +277,9 @@
 /// Counts how often each address is returned in `answers` answers.
 fn times_returned(directory: &Directory, answers: u64) -> HashMap<SocketAddr, u64> {
     let mut times = HashMap::new();
-    for draw in 0..answers {
+    for random in 0..answers {
         let all = AllowedRegions::all();
-        for address in directory.entry_addresses_for(Millis(1), "h1", "r1", &all, draw) {
+        for address in directory.entry_addresses_for(Millis(1), "h1", "r1", &all, random) {
             *times.entry(address).or_default() += 1;
         }
     }
--- a/crates/moleroad_dispatch/src/admission.rs
+++ b/crates/moleroad_dispatch/src/admission.rs
@@ -1,4 +1,4 @@
-//! Admission of requests to targets that may be cold or that have named a rate limit.
+//! Admission of requests to targets that may be cold or that have advertised a rate limit.
 
 use crate::candidate::{Candidate, Requirements};
 use crate::cold::Admission;
@@ -60,7 +60,7 @@
 
     /// Returns whether a send to a previously chosen target may still start. Checks
     /// against the current state: the grant or quota reservation has not expired, and a
-    /// target that turned cold or named a limit since it was chosen has one.
+    /// target that turned cold or advertised a limit since it was chosen has one.
     pub fn may_still_send(&self, now: Millis, chosen: &Candidate) -> bool {
         // `None`: it was chosen without a grant or a quota reservation.
         let in_time = chosen.granted_until.map(|until| now <= until);
@@ -90,7 +90,7 @@
     }
 
     /// Returns whether the target's request rate is limited now, because it is cold or
-    /// has named a limit.
+    /// has advertised a limit.
     pub fn is_rate_limited(&self, now: Millis, candidate: &Candidate) -> bool {
         self.current_rate_limit(now, candidate).is_some()
     }
@@ -101,11 +101,11 @@
         let cold = candidate.cold.as_deref();
         let cold = cold.filter(|_| self.cold_until(now, candidate).is_some());
         let while_cold = cold.map(|cold| cold.bound.requests_per_s);
-        let named = candidate
+        let advertised = candidate
             .limit
             .as_deref()
             .map(|limit| limit_bucket_params(limit.rate).per_s);
-        [while_cold, named]
+        [while_cold, advertised]
             .into_iter()
             .flatten()
             .min_by(f64::total_cmp)
--- a/crates/moleroad_dispatch/src/budget.rs
+++ b/crates/moleroad_dispatch/src/budget.rs
@@ -63,8 +63,8 @@
         self.bucket(now);
         let requests: u64 = self.buckets.iter().map(|bucket| bucket.requests).sum();
         let repeats: u64 = self.buckets.iter().map(|bucket| bucket.repeats).sum();
-        let part = self.params.slack / entries.max(1) as f64;
-        let allowed = USED_FRACTION * (self.params.ratio * requests as f64 + part);
+        let slack_share = self.params.slack / entries.max(1) as f64;
+        let allowed = USED_FRACTION * (self.params.ratio * requests as f64 + slack_share);
         repeats as f64 + 1.0 <= allowed
     }
 
--- a/crates/moleroad_dispatch/src/candidate.rs
+++ b/crates/moleroad_dispatch/src/candidate.rs
@@ -1,4 +1,4 @@
-//! Candidate targets, and what a request requires of a target.
+//! Candidate targets, and the requirements of a request on them.
 
 use crate::cold::ColdTarget;
 use crate::limit::LimitedTarget;
@@ -69,14 +69,14 @@
     pub backoff_until: Option<Millis>,
     /// Rate bound while it is cold; `None` if its service has none.
     pub cold: Option<Arc<ColdTarget>>,
-    /// Rate limit that the target named; `None` if it named none.
+    /// Rate limit that the target advertised; `None` if it advertised none.
     pub limit: Option<Arc<LimitedTarget>>,
     /// Until when a send on the obtained grant, or on the reserved quota, may start;
     /// `None` if it was chosen without either.
     pub granted_until: Option<Millis>,
 }
 
-/// What a request requires of a target.
+/// Requirements of a request on its target.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Requirements<'a> {
     /// Time of the choice.
--- a/crates/moleroad_dispatch/src/eligibility.rs
+++ b/crates/moleroad_dispatch/src/eligibility.rs
@@ -71,16 +71,16 @@
 /// Counts `candidates` by the reason why they are excluded from a request with these
 /// requirements.
 pub fn count_exclusions(candidates: &[Candidate], needs: Requirements<'_>) -> ExclusionCounts {
-    let mut tally = ExclusionCounts::default();
+    let mut counts = ExclusionCounts::default();
     for candidate in candidates {
         match exclusion(candidate, needs) {
-            Some(Exclusion::Region) => tally.region += 1,
-            Some(Exclusion::Evacuated) => tally.evacuated += 1,
-            Some(Exclusion::OldWeights) => tally.old_weights += 1,
-            Some(Exclusion::BackingOff) => tally.backing_off += 1,
-            Some(Exclusion::Tried) => tally.tried += 1,
-            None => tally.eligible += 1,
+            Some(Exclusion::Region) => counts.region += 1,
+            Some(Exclusion::Evacuated) => counts.evacuated += 1,
+            Some(Exclusion::OldWeights) => counts.old_weights += 1,
+            Some(Exclusion::BackingOff) => counts.backing_off += 1,
+            Some(Exclusion::Tried) => counts.tried += 1,
+            None => counts.eligible += 1,
         }
     }
-    tally
+    counts
 }
--- a/crates/moleroad_dispatch/src/lib.rs
+++ b/crates/moleroad_dispatch/src/lib.rs
@@ -1,23 +1,23 @@
 //! Choice of the target for a request, the time of sending, and the number of
 //! retries.
 //!
-//! The decisions of one entry, without I/O; the caller reports what was sent and
-//! how it ended. Each entry shares the targets with others that it does not
-//! coordinate with: [`load`] estimates what they have in flight from the agents'
+//! The decisions of one entry, without I/O; the caller reports each send and
+//! its outcome. Each entry shares the targets with others that it does not
+//! coordinate with: [`load`] estimates their requests in flight from the agents'
 //! reports, [`prefill`] predicts the first event, [`targets`] keeps both for each
 //! [`candidate`], [`eligibility`] decides which targets a request may go to, [`cost`]
 //! estimates the cost of a send, [`choice`] picks the cheapest target, [`queue`]
 //! orders the requests that wait for a slot, [`wait_estimate`] predicts how soon
 //! overdue ones get one and [`overdue_share`] limits how many they may use, [`share`]
 //! divides the last slots of a target among the entries, [`health`] tracks failures,
-//! [`backoff`] tracks targets that asked for a pause, and [`budget`] holds the entry's
+//! [`backoff`] tracks targets that asked for a backoff, and [`budget`] holds the entry's
 //! share of the retries that all entries may send.
 //!
 //! A cold target accepts only few requests per second: [`cold`] decides whether a
 //! target is cold, [`admission`] on what condition a request may be sent there,
 //! [`rate_bound`] provides the grants by which all entries keep the bound,
 //! [`division`] divides the bound where no agent gives grants, and [`limit`] enforces
-//! the limits that targets name.
+//! the limits that targets advertise.
 //!
 //! ```
 //! use moleroad_dispatch::prelude::*;
--- a/crates/moleroad_dispatch/src/limit.rs
+++ b/crates/moleroad_dispatch/src/limit.rs
@@ -1,4 +1,4 @@
-//! Enforcement of the rate limit that a target named, over all entries together.
+//! Enforcement of the rate limit that a target advertised, over all entries together.
 //!
 //! Each such target has one owner, which gives grants from a
 //! [`TokenBucket`](crate::rate_bound::TokenBucket); every send needs a grant. The owner
@@ -12,11 +12,11 @@
 use moleroad_directory::prelude::RequestRate;
 use std::net::SocketAddr;
 
-/// Minimum number of requests per second that a target gets, even if it named a lower
-/// limit: only an answer can show that the limit no longer applies.
+/// Minimum number of requests per second that a target gets, even if it advertised a
+/// lower limit: only an answer can show that the limit no longer applies.
 pub const MIN_PER_S: f64 = 0.1;
 
-/// A rate limit that a target named.
+/// A rate limit that a target advertised.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LimitedTarget {
     /// Rate that it accepts from all entries together.
@@ -25,7 +25,7 @@
     pub owner: SocketAddr,
 }
 
-/// Returns the token bucket parameters for a target that named `rate`.
+/// Returns the token bucket parameters for a target that advertised `rate`.
 pub fn limit_bucket_params(rate: RequestRate) -> BucketParams {
     let per_s = rate.as_per_s().max(MIN_PER_S);
     BucketParams {
--- a/crates/moleroad_dispatch/src/share.rs
+++ b/crates/moleroad_dispatch/src/share.rs
@@ -42,16 +42,16 @@
         let demand = |entry: &EntryDemand<'_>| entry.requests_per_s.max(min_demand);
         let total: f64 = entries.iter().map(demand).sum();
         let mut reached = 0.0;
-        let mut found = None;
+        let mut own_range = None;
         for entry in &entries {
             let next = reached + demand(entry);
             if entry.entry == own {
-                found = Some((reached / total, next / total));
+                own_range = Some((reached / total, next / total));
             }
             reached = next;
         }
         Self {
-            own_range: found,
+            own_range,
             is_shared: entries.len() >= 2,
         }
     }
--- a/crates/moleroad_dispatch/tests/cold_admission.rs
+++ b/crates/moleroad_dispatch/tests/cold_admission.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 /// A bound that holds until 5,000 ms.
-fn cold(requires_grant: bool, part: u32) -> ColdTarget {
+fn cold(requires_grant: bool, quota: u32) -> ColdTarget {
     ColdTarget {
         bound: RateBound::new(15.0, 1.5, 5.0),
         until: Millis(5_000),
@@ -16,7 +16,7 @@
         reported_until: Millis(5_000),
         cold_duration_ms: 3_000,
         requires_grant,
-        quota: part,
+        quota,
         quota_from: Millis(0),
     }
 }
@@ -92,18 +92,18 @@
 /// to the agent at 2,000 ms, for a target whose hall returned to service at 1,000 ms
 /// and that reported `left_ms` before that.
 fn passed_on_after_restore(left_ms: u64) -> (ColdSource, u64) {
-    let news = ColdEvidence {
+    let evidence = ColdEvidence {
         cold_duration_ms: 3_000,
         first_heard: Millis(0),
         last_heartbeat: Millis(900),
         left_ms,
         restored: Some(Millis(1_000)),
     };
-    let (until, source) = news.until();
+    let (until, source) = evidence.until();
     let target = ColdTarget {
         until,
         source,
-        reported_until: news.reported_until(),
+        reported_until: evidence.reported_until(),
         ..cold(true, 0)
     };
     assert_eq!(until, Millis(4_000));
--- a/crates/moleroad_dispatch/tests/dispatch.rs
+++ b/crates/moleroad_dispatch/tests/dispatch.rs
@@ -177,38 +177,38 @@
 
 #[test]
 fn repeats_of_all_entries_stay_within_the_bound_in_every_window() {
-    let terms = RetryBudgetParams {
+    let params = RetryBudgetParams {
         ratio: 0.2,
         slack: 100.0,
         window_ms: 10_000,
     };
     let entries = 9;
     let mut budgets: Vec<SharedRetryBudget> = (0..entries)
-        .map(|_| SharedRetryBudget::new(terms))
+        .map(|_| SharedRetryBudget::new(params))
         .collect();
-    let mut taken: Vec<(u64, bool)> = Vec::new();
+    let mut sent_requests: Vec<(u64, bool)> = Vec::new();
     for now in 0..60_000_u64 {
         let budget = &mut budgets[(now % entries as u64) as usize];
         if now % 5 == 0 {
             budget.note_request(Millis(now));
-            taken.push((now, false));
+            sent_requests.push((now, false));
         }
         if budget.try_take(Millis(now), entries) {
-            taken.push((now, true));
+            sent_requests.push((now, true));
         }
     }
     for start in (0..50_000).step_by(500) {
         let in_window = |at: u64| (start..start + 10_000).contains(&at);
-        let repeats = taken
+        let retries = sent_requests
             .iter()
-            .filter(|(at, repeat)| in_window(*at) && *repeat);
-        let repeats = repeats.count();
-        let requests = taken
+            .filter(|(at, is_retry)| in_window(*at) && *is_retry);
+        let retries = retries.count();
+        let requests = sent_requests
             .iter()
-            .filter(|(at, repeat)| in_window(*at) && !*repeat);
+            .filter(|(at, is_retry)| in_window(*at) && !*is_retry);
         let requests = requests.count();
         let bound = 0.2 * requests as f64 + 100.0;
-        assert!(repeats as f64 <= bound, "at {start}: {repeats}");
+        assert!(retries as f64 <= bound, "at {start}: {retries}");
     }
 }
 
@@ -307,12 +307,12 @@
         }
     });
     let shares = SlotShares::new("entry-7", demands);
-    let places: u32 = (0..4_000)
+    let slots: u32 = (0..4_000)
         .map(|n| shares.of(&format!("target-{n}"), 8))
         .sum();
     assert_eq!(read.get(), names.len());
     // One in 500 of 32,000 slots, within rounding.
-    assert!((44..=84).contains(&places), "{places} slots");
+    assert!((44..=84).contains(&slots), "{slots} slots");
 }
 
 #[test]
--- a/crates/moleroad_dispatch/tests/engines.rs
+++ b/crates/moleroad_dispatch/tests/engines.rs
@@ -6,7 +6,7 @@
 use moleroad_dispatch::prelude::*;
 use moleroad_types::prelude::Millis;
 
-const READING: PrefillSpeed = PrefillSpeed {
+const PREFILL: PrefillSpeed = PrefillSpeed {
     tokens_per_ms: 30.0,
     typical_prompt_tokens: 900.0,
     steps_ms: 40.0,
@@ -35,7 +35,7 @@
     let near = (0..6).map(|index| engine(&format!("near-{index}"), Distance::SameHall));
     let far = (0..4).map(|index| engine(&format!("far-{index}"), Distance::OtherRegion));
     let mut targets = Targets::default();
-    targets.prefill = Some(READING);
+    targets.prefill = Some(PREFILL);
     targets.set(near.chain(far).collect());
     targets
 }
--- a/crates/moleroad_dispatch/tests/limit.rs
+++ b/crates/moleroad_dispatch/tests/limit.rs
@@ -1,4 +1,4 @@
-//! Rate limits named by targets: what the owner grants, and which sends need a grant.
+//! Rate limits advertised by targets: what the owner grants, and which sends need a grant.
 
 mod support;
 
@@ -11,7 +11,7 @@
 /// its network delay, in milliseconds.
 const WINDOW_MS: u64 = 4_000;
 const MAX_LATENESS_MS: u64 = 250;
-/// Requests that a target tolerates in a window: 1.5 times the named rate, plus five.
+/// Requests that a target tolerates in a window: 1.5 times the advertised rate, plus five.
 fn tolerated(per_s: f64) -> f64 {
     per_s * WINDOW_MS as f64 / 1_000.0 * 1.5 + 5.0
 }
@@ -19,15 +19,15 @@
 /// Grants that an initially full bucket gives in a window plus the time of late
 /// requests.
 fn max_granted(per_s: f64) -> u32 {
-    let terms = limit_bucket_params(RequestRate::per_s(per_s));
-    let mut bucket = TokenBucket::full(Millis(0), terms);
-    let mut given = 0;
+    let params = limit_bucket_params(RequestRate::per_s(per_s));
+    let mut bucket = TokenBucket::full(Millis(0), params);
+    let mut granted_count = 0;
     for at in 0..=WINDOW_MS + MAX_LATENESS_MS {
         while bucket.take(Millis(at)) {
-            given += 1;
+            granted_count += 1;
         }
     }
-    given
+    granted_count
 }
 
 #[test]
@@ -53,8 +53,8 @@
 
 #[test]
 fn a_target_that_names_nothing_a_second_is_asked_now_and_then() {
-    let terms = limit_bucket_params(RequestRate::per_s(0.0));
-    let mut bucket = TokenBucket::full(Millis(0), terms);
+    let params = limit_bucket_params(RequestRate::per_s(0.0));
+    let mut bucket = TokenBucket::full(Millis(0), params);
     assert!(bucket.take(Millis(0)));
     assert!(!bucket.take(Millis(9_000)));
     assert!(bucket.take(Millis(10_100)));
@@ -63,9 +63,9 @@
 #[test]
 fn all_entries_work_out_one_owner_and_one_more_entry_moves_few_targets() {
     let names: Vec<String> = (0..9).map(|number| format!("entry-{number}")).collect();
-    let owner_of = |target: &str, entries: &[String], turned: usize| {
-        let turned = entries.iter().cycle().skip(turned).take(entries.len());
-        owner(turned.map(String::as_str), target).map(String::from)
+    let owner_of = |target: &str, entries: &[String], rotated: usize| {
+        let rotated = entries.iter().cycle().skip(rotated).take(entries.len());
+        owner(rotated.map(String::as_str), target).map(String::from)
     };
     let mut moved = 0;
     for number in 0..300 {
@@ -116,7 +116,7 @@
     );
     assert!(targets.may_still_send(now, &granted(1_000)));
     assert!(!targets.may_still_send(now, &granted(999)), "lapsed");
-    // The target no longer names a limit.
+    // The target no longer advertises a limit.
     assert!(with(&[&free]).may_still_send(now, &limited));
 }
 
--- a/crates/moleroad_dispatch/tests/overdue.rs
+++ b/crates/moleroad_dispatch/tests/overdue.rs
@@ -7,9 +7,9 @@
 use moleroad_dispatch::prelude::*;
 use moleroad_types::prelude::{AllowedRegions, Millis, Region};
 
-fn waiter(id: u64, line: WaitClass, since: u64) -> Waiter {
+fn waiter(id: u64, class: WaitClass, since: u64) -> Waiter {
     Waiter {
-        class: line,
+        class,
         id: WaiterId(id),
         priority: 1,
         since: Millis(since),
@@ -40,27 +40,27 @@
 
 #[test]
 fn the_expected_wait_follows_the_pace_at_which_places_come() {
-    let mut pace = WaitEstimator::default();
-    pace.record_enqueued(Millis(0), 0);
+    let mut estimator = WaitEstimator::default();
+    estimator.record_enqueued(Millis(0), 0);
     for at in 1..=20 {
-        pace.record_granted(Millis(at * 300));
+        estimator.record_granted(Millis(at * 300));
     }
-    let alone = pace.expected_wait_ms(Millis(6_000), 0);
+    let alone = estimator.expected_wait_ms(Millis(6_000), 0);
     assert!((250.0..=300.0).contains(&alone), "{alone}");
-    let behind_four = pace.expected_wait_ms(Millis(6_000), 4);
+    let behind_four = estimator.expected_wait_ms(Millis(6_000), 4);
     assert!((behind_four - alone * 5.0).abs() < 1.0, "{behind_four}");
 }
 
 #[test]
 fn without_places_nobody_more_is_held() {
-    let mut pace = WaitEstimator::default();
-    pace.record_enqueued(Millis(0), 0);
-    pace.record_enqueued(Millis(50), 1);
-    assert!(pace.expected_wait_ms(Millis(100), 2) < 1_000.0);
+    let mut estimator = WaitEstimator::default();
+    estimator.record_enqueued(Millis(0), 0);
+    estimator.record_enqueued(Millis(50), 1);
+    assert!(estimator.expected_wait_ms(Millis(100), 2) < 1_000.0);
     // Two seconds without a slot: the third request would wait six.
-    assert!(pace.expected_wait_ms(Millis(2_000), 2) >= 6_000.0);
+    assert!(estimator.expected_wait_ms(Millis(2_000), 2) >= 6_000.0);
     // A request that arrives when none is waiting starts over.
-    assert!(pace.expected_wait_ms(Millis(9_000), 0) < 1_000.0);
+    assert!(estimator.expected_wait_ms(Millis(9_000), 0) < 1_000.0);
 }
 
 fn at_least(version: u64) -> Requirements<'static> {
--- a/crates/moleroad_dispatch/tests/rate_bound.rs
+++ b/crates/moleroad_dispatch/tests/rate_bound.rs
@@ -30,8 +30,8 @@
     Killed(u64),
     /// It freezes for this time, then handles the queries that arrived meanwhile.
     Frozen(u64),
-    /// It keeps running, but its clock stands still for this time.
-    ClockStands(u64),
+    /// It keeps running, but its clock stalls for this time.
+    ClockStalls(u64),
 }
 
 /// A query of some entry for a grant, with the delays of each step.
@@ -70,13 +70,13 @@
     let fault = prop_oneof![
         prop_oneof![1..20_u64, 1..800_u64].prop_map(Fault::Killed),
         (1..2_500_u64).prop_map(Fault::Frozen),
-        (1..1_500_u64).prop_map(Fault::ClockStands),
+        (1..1_500_u64).prop_map(Fault::ClockStalls),
     ];
     prop::collection::vec((0..6_000_u64, fault), 0..40)
 }
 
 /// Returns when the requests of all entries arrive at the target.
-fn arrivals(terms: BucketParams, attempts: &[Attempt], faults: &[(u64, Fault)]) -> Vec<u64> {
+fn arrivals(params: BucketParams, attempts: &[Attempt], faults: &[(u64, Fault)]) -> Vec<u64> {
     let mut faults = faults.to_vec();
     faults.sort_by_key(|(at, _)| *at);
     let mut asked: Vec<(u64, &Attempt)> = attempts
@@ -84,7 +84,7 @@
         .filter_map(|attempt| Some((attempt.at + attempt.query_delay?, attempt)))
         .collect();
     asked.sort_by_key(|(at, _)| *at);
-    let mut bucket = TokenBucket::new(Millis(0), terms);
+    let mut bucket = TokenBucket::new(Millis(0), params);
     let (mut down_until, mut frozen_until, mut clock_behind) = (0, 0, 0);
     let mut next_fault = 0;
     let mut arrivals = Vec::new();
@@ -95,10 +95,10 @@
                 Fault::Killed(time) => {
                     down_until = fault_at + time;
                     let now = Millis(down_until.saturating_sub(clock_behind));
-                    bucket = TokenBucket::new(now, terms);
+                    bucket = TokenBucket::new(now, params);
                 }
                 Fault::Frozen(time) => frozen_until = fault_at + time,
-                Fault::ClockStands(time) => clock_behind += time,
+                Fault::ClockStalls(time) => clock_behind += time,
             }
         }
         if at < down_until {
@@ -127,9 +127,9 @@
         slack in 0.0..10.0_f64,
     ) {
         for bound in [usual(), RateBound::new(rate, overshoot, slack)] {
-            let Some(terms) = bound.bucket_params() else { continue };
-            let most = most_in_a_second(&arrivals(terms, &attempts, &faults));
-            prop_assert!(most as f64 <= terms.most_in_a_second(), "{most} of {terms:?}");
+            let Some(params) = bound.bucket_params() else { continue };
+            let most = most_in_a_second(&arrivals(params, &attempts, &faults));
+            prop_assert!(most as f64 <= params.most_in_a_second(), "{most} of {params:?}");
             prop_assert!(most as f64 <= bound.most_in_a_second, "{most} of {bound:?}");
         }
     }
@@ -143,9 +143,9 @@
         let bound = RateBound::new(rate, overshoot, slack);
         match bound.bucket_params() {
             None => prop_assert!(bound.most_in_a_second < 1.0),
-            Some(terms) => {
-                prop_assert!(terms.most_in_a_second() <= bound.most_in_a_second);
-                prop_assert!(terms.per_s <= rate && terms.per_s > 0.0 && terms.burst >= 1.0);
+            Some(params) => {
+                prop_assert!(params.most_in_a_second() <= bound.most_in_a_second);
+                prop_assert!(params.per_s <= rate && params.per_s > 0.0 && params.burst >= 1.0);
             }
         }
         let division = Division::of(bound);
@@ -169,29 +169,29 @@
         let mut arrivals = Vec::new();
         for (index, name) in names.iter().enumerate() {
             let same_side = |(other, _): &(usize, &String)| sides[*other] == sides[index];
-            let seen: Vec<&str> = names
+            let visible: Vec<&str> = names
                 .iter()
                 .enumerate()
                 .filter(same_side)
                 .map(|(_, name)| name.as_str())
                 .collect();
-            let part = division.quota_of(name, &seen, "target");
-            let mut lives: Vec<u64> = restarts
+            let quota = division.quota_of(name, &visible, "target");
+            let mut starts: Vec<u64> = restarts
                 .iter()
-                .filter(|(who, _)| *who == index)
+                .filter(|(restarted, _)| *restarted == index)
                 .map(|(_, at)| *at)
                 .collect();
-            lives.sort_unstable();
+            starts.sort_unstable();
             let (mut sends, mut own) = (SendTimes::default(), Vec::new());
             let (mut from, mut at, mut step) = (Millis(0), 0, index);
             while at < 5_000 {
                 at += steps[step % steps.len()];
                 step += 1;
-                while lives.first().is_some_and(|life| *life <= at) {
-                    from = quota_usable_from(Millis(lives.remove(0)), Millis(0));
+                while starts.first().is_some_and(|start| *start <= at) {
+                    from = quota_usable_from(Millis(starts.remove(0)), Millis(0));
                     sends = SendTimes::default();
                 }
-                if part > 0 && Millis(at) >= from && sends.has_room(Millis(at), part) {
+                if quota > 0 && Millis(at) >= from && sends.has_room(Millis(at), quota) {
                     sends.record(Millis(at));
                     // It connects, or is frozen, before it sends.
                     let send_delay = send_delays[step % send_delays.len()];
@@ -211,10 +211,10 @@
 
 #[test]
 fn the_usual_terms_use_the_whole_rate_and_stay_below_the_bound() {
-    let terms = usual().bucket_params().expect("terms");
-    assert_eq!((terms.per_s, terms.burst), (15.0, 3.0));
+    let params = usual().bucket_params().expect("terms");
+    assert_eq!((params.per_s, params.burst), (15.0, 3.0));
     // 15 × 1.25 + 3, of 27.5 that the target tolerates.
-    assert_eq!(terms.most_in_a_second(), 21.0);
+    assert_eq!(params.most_in_a_second(), 21.0);
 }
 
 /// Returns arrival times at random, `per_s` per second on average.
@@ -235,24 +235,24 @@
 fn under_load_most_of_the_rate_is_taken() {
     // A grant that no entry asks for is lost: with as many requests as the rate, and
     // with some more, at least 0.8 of the rate is used.
-    for (per_s, least) in [(15.0, 0.8), (22.0, 0.9), (100.0, 0.97)] {
-        let terms = usual().bucket_params().expect("terms");
-        let mut bucket = TokenBucket::new(Millis(0), terms);
+    for (per_s, min_fraction) in [(15.0, 0.8), (22.0, 0.9), (100.0, 0.97)] {
+        let params = usual().bucket_params().expect("terms");
+        let mut bucket = TokenBucket::new(Millis(0), params);
         let asked = at_random(per_s, 60_000);
-        let given = asked.iter().filter(|at| bucket.take(Millis(**at))).count();
-        let part = given as f64 / (15.0 * 60.0);
-        assert!(part >= least, "{part} at {per_s} per second");
+        let granted = asked.iter().filter(|at| bucket.take(Millis(**at))).count();
+        let fraction = granted as f64 / (15.0 * 60.0);
+        assert!(fraction >= min_fraction, "{fraction} at {per_s} per second");
     }
     let division = Division::of(usual());
-    let in_a_span = f64::from(division.owners * division.quota);
-    let part = in_a_span * 1_000.0 / QUOTA_WINDOW_MS as f64 / 15.0;
-    assert!((0.69..0.7).contains(&part), "{part}");
+    let per_window = f64::from(division.owners * division.quota);
+    let fraction = per_window * 1_000.0 / QUOTA_WINDOW_MS as f64 / 15.0;
+    assert!((0.69..0.7).contains(&fraction), "{fraction}");
 }
 
 #[test]
 fn a_bucket_begins_empty_and_is_empty_after_its_owner_stood_still() {
-    let terms = usual().bucket_params().expect("terms");
-    let mut bucket = TokenBucket::new(Millis(5_000), terms);
+    let params = usual().bucket_params().expect("terms");
+    let mut bucket = TokenBucket::new(Millis(5_000), params);
     assert!(!bucket.take(Millis(5_000)));
     assert_eq!(bucket.available(Millis(6_000)), 3);
     bucket.drain(Millis(6_000));
@@ -273,8 +273,8 @@
 
 #[test]
 fn other_terms_take_effect_at_once() {
-    let terms = usual().bucket_params().expect("terms");
-    let mut bucket = TokenBucket::new(Millis(0), terms);
+    let params = usual().bucket_params().expect("terms");
+    let mut bucket = TokenBucket::new(Millis(0), params);
     assert_eq!(bucket.available(Millis(1_000)), 3);
     let lower = RateBound::new(2.0, 1.0, 0.0)
         .bucket_params()
@@ -290,17 +290,17 @@
     let entries: Vec<&str> = names.iter().map(String::as_str).collect();
     let division = Division::of(usual());
     assert_eq!((division.owners, division.quota), (13, 1));
-    let mut parts_of_entries = vec![0; entries.len()];
+    let mut quotas_of_entries = vec![0; entries.len()];
     for target in 0..45 {
         let target = format!("target-{target}");
-        let part = |entry: &&str| division.quota_of(entry, &entries, &target);
-        let parts: Vec<u32> = entries.iter().map(part).collect();
-        assert_eq!(parts.iter().sum::<u32>(), 13);
-        for (sum, part) in parts_of_entries.iter_mut().zip(&parts) {
-            *sum += part;
+        let quota = |entry: &&str| division.quota_of(entry, &entries, &target);
+        let quotas: Vec<u32> = entries.iter().map(quota).collect();
+        assert_eq!(quotas.iter().sum::<u32>(), 13);
+        for (sum, quota) in quotas_of_entries.iter_mut().zip(&quotas) {
+            *sum += quota;
         }
     }
-    assert!(parts_of_entries.iter().all(|sum| *sum > 0));
+    assert!(quotas_of_entries.iter().all(|sum| *sum > 0));
     // An entry that knows only itself gets no more than its quota.
     assert_eq!(division.quota_of("alone", &[], "target"), 1);
 }
--- a/crates/moleroad_dispatch/tests/rest.rs
+++ b/crates/moleroad_dispatch/tests/rest.rs
@@ -16,7 +16,7 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-fn life(id: &str, born_ms: u64) -> Responder {
+fn responder(id: &str, born_ms: u64) -> Responder {
     Responder {
         address: address(1),
         target: TargetId::new(id),
@@ -24,19 +24,20 @@
     }
 }
 
-fn candidate(number: u16, rests_until: Option<Millis>) -> Candidate {
+fn candidate(number: u16, backoff_until: Option<Millis>) -> Candidate {
     Candidate {
         address: address(number),
         version: None,
-        backoff_until: rests_until,
+        backoff_until,
         ..support::target(&format!("t{number}"), 2)
     }
 }
 
-fn targets(rests: &[Option<u64>]) -> Targets {
+fn targets(backoffs: &[Option<u64>]) -> Targets {
     let mut targets = Targets::default();
-    let rests = rests.iter().enumerate();
-    let candidates = rests.map(|(number, until)| candidate(number as u16 + 1, until.map(Millis)));
+    let backoffs = backoffs.iter().enumerate();
+    let candidates =
+        backoffs.map(|(number, until)| candidate(number as u16 + 1, until.map(Millis)));
     targets.set(candidates.collect());
     targets
 }
@@ -50,7 +51,7 @@
 
 #[test]
 fn a_rest_is_read_in_seconds_and_fractions() {
-    let read = [
+    let cases = [
         ("3", Some(3_000)),
         (" 3 ", Some(3_000)),
         ("0", Some(0)),
@@ -76,7 +77,7 @@
         ("soon", None),
         ("Wed, 21 Oct 2026 07:28:00 GMT", None),
     ];
-    for (text, expected) in read {
+    for (text, expected) in cases {
         assert_eq!(parse_retry_after_ms(text), expected, "{text:?}");
     }
     assert_eq!(parse_retry_after_ms(&"9".repeat(400)), Some(MAX_BACKOFF_MS));
@@ -91,53 +92,79 @@
 
 #[test]
 fn a_shorter_wish_takes_nothing_from_a_longer_one() {
-    let mut rests = TargetBackoffs::default();
-    rests.record(Millis(100), life("t", 7), ANSWERED, 3_000);
-    rests.record(Millis(200), life("t", 7), ANSWERED, 50);
-    assert_eq!(rests.until(Millis(300), &life("t", 7)), Some(Millis(3_100)));
-    rests.record(Millis(400), life("t", 7), ANSWERED, 5_000);
-    assert_eq!(rests.until(Millis(500), &life("t", 7)), Some(Millis(5_400)));
-    assert_eq!(rests.until(Millis(5_400), &life("t", 7)), None);
+    let mut backoffs = TargetBackoffs::default();
+    backoffs.record(Millis(100), responder("t", 7), ANSWERED, 3_000);
+    backoffs.record(Millis(200), responder("t", 7), ANSWERED, 50);
+    assert_eq!(
+        backoffs.until(Millis(300), &responder("t", 7)),
+        Some(Millis(3_100))
+    );
+    backoffs.record(Millis(400), responder("t", 7), ANSWERED, 5_000);
+    assert_eq!(
+        backoffs.until(Millis(500), &responder("t", 7)),
+        Some(Millis(5_400))
+    );
+    assert_eq!(backoffs.until(Millis(5_400), &responder("t", 7)), None);
 }
 
 #[test]
 fn a_wish_ends_with_the_life_that_had_it() {
-    let mut rests = TargetBackoffs::default();
-    rests.record(Millis(100), life("t", 7), ANSWERED, 3_000);
-    assert_eq!(rests.until(Millis(200), &life("t", ANSWERED + 1)), None);
+    let mut backoffs = TargetBackoffs::default();
+    backoffs.record(Millis(100), responder("t", 7), ANSWERED, 3_000);
+    assert_eq!(
+        backoffs.until(Millis(200), &responder("t", ANSWERED + 1)),
+        None
+    );
     // Another target at the same address, started since.
-    assert_eq!(rests.until(Millis(200), &life("u", ANSWERED + 1)), None);
+    assert_eq!(
+        backoffs.until(Millis(200), &responder("u", ANSWERED + 1)),
+        None
+    );
     // The backoff applies only to the address that answered.
     let elsewhere = Responder {
         address: address(2),
-        ..life("t", 7)
+        ..responder("t", 7)
     };
-    assert_eq!(rests.until(Millis(200), &elsewhere), None);
+    assert_eq!(backoffs.until(Millis(200), &elsewhere), None);
 }
 
 #[test]
 fn a_life_that_answered_before_its_first_heartbeat_came_keeps_its_wish() {
-    let mut rests = TargetBackoffs::default();
-    rests.record(Millis(100), life("t", 7), ANSWERED, 3_000);
+    let mut backoffs = TargetBackoffs::default();
+    backoffs.record(Millis(100), responder("t", 7), ANSWERED, 3_000);
     let until = Some(Millis(3_100));
-    assert_eq!(rests.until(Millis(200), &life("t", ANSWERED - 1)), until);
-    assert_eq!(rests.until(Millis(200), &life("u", ANSWERED - 1)), until);
+    assert_eq!(
+        backoffs.until(Millis(200), &responder("t", ANSWERED - 1)),
+        until
+    );
+    assert_eq!(
+        backoffs.until(Millis(200), &responder("u", ANSWERED - 1)),
+        until
+    );
     // A backoff recorded under the previous start time is not shortened by a shorter
     // one.
-    rests.record(Millis(300), life("t", ANSWERED - 1), ANSWERED + 200, 10);
-    assert_eq!(rests.until(Millis(400), &life("t", ANSWERED - 1)), until);
+    backoffs.record(
+        Millis(300),
+        responder("t", ANSWERED - 1),
+        ANSWERED + 200,
+        10,
+    );
+    assert_eq!(
+        backoffs.until(Millis(400), &responder("t", ANSWERED - 1)),
+        until
+    );
 }
 
 #[test]
 fn without_births_a_target_is_known_by_its_identity() {
-    let mut rests = TargetBackoffs::default();
-    rests.record(Millis(100), life("t", 0), ANSWERED, 3_000);
+    let mut backoffs = TargetBackoffs::default();
+    backoffs.record(Millis(100), responder("t", 0), ANSWERED, 3_000);
     let until = Some(Millis(3_100));
-    assert_eq!(rests.until(Millis(200), &life("t", 0)), until);
-    assert_eq!(rests.until(Millis(200), &life("t", 9)), until);
-    assert_eq!(rests.until(Millis(200), &life("u", 9)), None);
+    assert_eq!(backoffs.until(Millis(200), &responder("t", 0)), until);
+    assert_eq!(backoffs.until(Millis(200), &responder("t", 9)), until);
+    assert_eq!(backoffs.until(Millis(200), &responder("u", 9)), None);
     let record = TargetRecord::new(TargetId::new("t"), "service", address(1));
-    assert_eq!(rests.until(Millis(200), &Responder::of(&record)), until);
+    assert_eq!(backoffs.until(Millis(200), &Responder::of(&record)), until);
 }
 
 #[test]
@@ -145,24 +172,24 @@
     let targets = targets(&[Some(50)]);
     let id = TargetId::new("t1");
     let all = AllowedRegions::all();
-    for (now, rests) in [(49, true), (50, false)] {
+    for (now, is_backed_off) in [(49, true), (50, false)] {
         let chosen = targets.choose(Millis(now), at(now), 1);
-        assert_eq!(matches!(chosen, Choice::Send(_)), !rests);
+        assert_eq!(matches!(chosen, Choice::Send(_)), !is_backed_off);
         let listed = targets.shortlist(Millis(now), at(now), SearchScope::OwnRegion, 1);
-        assert_eq!(listed.is_empty(), rests);
-        let looked_at = [candidate(1, None)];
-        let best = targets.best_of(Millis(now), at(now), &looked_at);
-        assert_eq!(best.is_none(), rests, "the current state counts");
-        assert_eq!(targets.is_eligible(&id, at(now)), !rests);
-        assert_eq!(targets.any_eligible(at(now)), !rests);
+        assert_eq!(listed.is_empty(), is_backed_off);
+        let observed = [candidate(1, None)];
+        let best = targets.best_of(Millis(now), at(now), &observed);
+        assert_eq!(best.is_none(), is_backed_off, "the current state counts");
+        assert_eq!(targets.is_eligible(&id, at(now)), !is_backed_off);
+        assert_eq!(targets.any_eligible(at(now)), !is_backed_off);
         let free = targets.free_slots(Millis(now), &all);
-        assert_eq!(free, if rests { 0.0 } else { 2.0 });
+        assert_eq!(free, if is_backed_off { 0.0 } else { 2.0 });
     }
 }
 
 #[test]
 fn the_first_to_have_rested_is_known_where_nobody_else_serves() {
-    let rested = |any, untried: Option<u64>| {
+    let ends = |any, untried: Option<u64>| {
         Some(BackoffEnds {
             any: Millis(any),
             untried: untried.map(Millis),
@@ -170,7 +197,7 @@
     };
     assert_eq!(
         targets(&[Some(50), Some(40)]).backoff_ends(at(10)),
-        rested(40, Some(40))
+        ends(40, Some(40))
     );
     assert_eq!(targets(&[Some(50), None]).backoff_ends(at(10)), None);
     assert_eq!(targets(&[Some(50), Some(40)]).backoff_ends(at(45)), None);
@@ -181,8 +208,8 @@
         ..at(10)
     };
     let targets = targets(&[Some(50), Some(40)]);
-    assert_eq!(targets.backoff_ends(needs(1)), rested(40, Some(50)));
-    assert_eq!(targets.backoff_ends(needs(2)), rested(40, None));
+    assert_eq!(targets.backoff_ends(needs(1)), ends(40, Some(50)));
+    assert_eq!(targets.backoff_ends(needs(2)), ends(40, None));
 }
 
 #[test]
--- a/crates/moleroad_membership/src/contacts.rs
+++ b/crates/moleroad_membership/src/contacts.rs
@@ -262,8 +262,8 @@
         let seeds = self.seeds.iter().copied().filter(|seed| !known(seed));
         let probed: Vec<SocketAddr> = silent.chain(seeds).collect();
         // Each probe interval selects the next address.
-        let turn = (self.now.0 / PROBE_INTERVAL_MS) as usize;
-        let address = probed.get(turn % probed.len().max(1))?;
+        let probe_round = (self.now.0 / PROBE_INTERVAL_MS) as usize;
+        let address = probed.get(probe_round % probed.len().max(1))?;
         Some(self.pull_contact(*address, Scope::All, PROBE_INTERVAL_MS))
     }
 
--- a/crates/moleroad_membership/src/lib.rs
+++ b/crates/moleroad_membership/src/lib.rs
@@ -10,8 +10,8 @@
 //! and targets are transferred as a [`moleroad_directory::delta`].
 //!
 //! The crate performs no I/O and reads no clock; the daemon's gossip task does. The
-//! simulated fleet under `tests/` runs in virtual time and measures what grows with
-//! the number of daemons.
+//! simulated fleet under `tests/` runs in virtual time and measures how the
+//! traffic grows with the number of daemons.
 #![warn(missing_docs)]
 
 pub mod caller_update;
--- a/crates/moleroad_membership/tests/support/mod.rs
+++ b/crates/moleroad_membership/tests/support/mod.rs
@@ -169,8 +169,8 @@
     /// Returns the traffic of the daemons with `role` that are relays, or that are not.
     pub fn traffic(&self, role: DaemonRole, relays: bool) -> Vec<Traffic> {
         let of_role = self.daemons.iter().filter(|daemon| daemon.own.role == role);
-        let wanted = of_role.filter(|daemon| self.is_relay(daemon) == relays);
-        wanted.map(|daemon| daemon.traffic).collect()
+        let selected = of_role.filter(|daemon| self.is_relay(daemon) == relays);
+        selected.map(|daemon| daemon.traffic).collect()
     }
 
     /// Returns the traffic of all daemons.
@@ -321,7 +321,7 @@
             callee
                 .directory
                 .delta(now, own.incarnation, &own.hall, &caller.instance, request);
-        let answered = GossipReply {
+        let reply = GossipReply {
             unknown_caller: !caller.is_known,
             cursor: delta.cursor,
             has_more: delta.has_more,
@@ -330,7 +330,7 @@
         let arrives_us = self.send(exchange.to, exchange.from, bytes_of(&delta));
         let deadline_us = exchange.sent_at_us + TIMEOUT_MS * 1_000;
         if arrives_us <= deadline_us {
-            let answer = Box::new((exchange, answered, delta));
+            let answer = Box::new((exchange, reply, delta));
             self.schedule(arrives_us, Event::Reply(answer));
         } else {
             self.schedule(
@@ -340,16 +340,13 @@
         }
     }
 
-    fn receive_reply(
-        &mut self,
-        (exchange, answered, delta): (Exchange, GossipReply, DirectoryDelta),
-    ) {
+    fn receive_reply(&mut self, (exchange, reply, delta): (Exchange, GossipReply, DirectoryDelta)) {
         let now = self.now();
         let daemon = &mut self.daemons[exchange.from];
         let contact = exchange.contact;
         daemon
             .gossip
-            .record_reply(now, &contact, exchange.next, answered);
+            .record_reply(now, &contact, exchange.next, reply);
         let slots = daemon.gossip.slots(contact.address);
         let own = &daemon.own.instance;
         let outcome = daemon.directory.apply_delta(now, own, delta, slots);
--- a/crates/moleroad_quarantine/src/lib.rs
+++ b/crates/moleroad_quarantine/src/lib.rs
@@ -5,7 +5,8 @@
 //! without I/O: [`fingerprint`] identifies a request that is repeated, [`suspects`]
 //! collects which targets terminated while running it, as observed here and reported
 //! by other daemons, and decides when it is held; [`successes`] remembers requests that
-//! completed; [`holds`] is what the control group stores for a restart of all daemons,
+//! completed; [`holds`] is the state that the control group stores for a restart of
+//! all daemons,
 //! and [`reviews`] releases requests that were held by mistake.
 //!
 //! ```
--- a/crates/moleroad_quarantine/src/reviews.rs
+++ b/crates/moleroad_quarantine/src/reviews.rs
@@ -113,7 +113,7 @@
         released_at.is_some_and(|at| until.0 <= at.0 + TERMINATION_TTL_MS + SAME_HOLD_MS)
     }
 
-    /// Merges what another daemon knows; returns true if anything was new.
+    /// Merges the reviews known to another daemon; returns true if anything was new.
     pub fn merge(&mut self, other: &Reviews) -> bool {
         let mut changed = false;
         for (request, theirs) in &other.0 {
--- a/crates/moleroad_quarantine/src/suspects.rs
+++ b/crates/moleroad_quarantine/src/suspects.rs
@@ -231,9 +231,9 @@
     fn others_near(&self, at: Millis, terminations: &Terminations) -> usize {
         let is_near = |termination: &Termination| termination.at.0.abs_diff(at.0) < CORRELATION_MS;
         let all = self.terminations.values().flatten();
-        let near = all
+        let nearby = all
             .filter(|(life, termination)| is_near(termination) && !terminations.contains_key(life));
-        let others: BTreeSet<&TargetIncarnation> = near.map(|(life, _)| life).collect();
+        let others: BTreeSet<&TargetIncarnation> = nearby.map(|(life, _)| life).collect();
         others.len()
     }
 
--- a/crates/moleroad_quarantine/tests/reviews.rs
+++ b/crates/moleroad_quarantine/tests/reviews.rs
@@ -58,8 +58,8 @@
 #[test]
 fn a_good_end_ends_holds_of_before_and_those_told_late() {
     let mut reviews = Reviews::default();
-    let ends = |reviews: &Reviews, until| reviews.ends_hold(&request(1), UnixMillis(until));
-    assert!(!ends(&reviews, NOON));
+    let ends_hold = |reviews: &Reviews, until| reviews.ends_hold(&request(1), UnixMillis(until));
+    assert!(!ends_hold(&reviews, NOON));
     assert!(reviews.release(&release(1, NOON)));
     assert!(!reviews.release(&release(1, NOON)), "known");
     assert!(
@@ -67,10 +67,10 @@
         "a later one is known"
     );
     for began in [NOON - 1_000, NOON, NOON + 2_000] {
-        assert!(ends(&reviews, began + HOUR));
+        assert!(ends_hold(&reviews, began + HOUR));
     }
     assert!(
-        !ends(&reviews, NOON + 2 * HOUR),
+        !ends_hold(&reviews, NOON + 2 * HOUR),
         "a hold that began an hour later"
     );
     assert!(!reviews.ends_hold(&request(2), UnixMillis(NOON)));
--- a/crates/moleroad_quarantine/tests/suspects.rs
+++ b/crates/moleroad_quarantine/tests/suspects.rs
@@ -96,10 +96,10 @@
         here.record(START, termination(request(1), number));
         there.record(START, termination(request(1), number));
     }
-    let told = here.position();
+    let sent_position = here.position();
     assert!(here.excuse(&request(1)));
     assert!(!here.excuse(&request(1)), "it is already excused");
-    let (reports, _) = here.changes_since(START, told);
+    let (reports, _) = here.changes_since(START, sent_position);
     assert_eq!(reports.len(), 3);
     for termination in reports {
         there.record(START, termination);
@@ -182,12 +182,12 @@
     assert_eq!((there.len(), messages), (count, 3));
 }
 
-/// What three daemons observe and report to each other, in any order.
+/// Observations of three daemons and reports between them, in any order.
 #[derive(Clone, Copy, Debug)]
 enum Event {
     End { at: usize, request: u8, life: u64 },
     Success { at: usize, request: u8 },
-    Tell { from: usize, to: usize },
+    SendChanges { from: usize, to: usize },
 }
 
 fn event() -> impl Strategy<Value = Event> {
@@ -199,11 +199,11 @@
             life
         }),
         (daemon.clone(), 0..3_u8).prop_map(|(at, request)| Event::Success { at, request }),
-        (daemon.clone(), daemon).prop_map(|(from, to)| Event::Tell { from, to }),
+        (daemon.clone(), daemon).prop_map(|(from, to)| Event::SendChanges { from, to }),
     ]
 }
 
-fn tell(daemons: &mut [Suspects], from: usize, to: usize) {
+fn send_changes(daemons: &mut [Suspects], from: usize, to: usize) {
     let (reports, _) = daemons[from].changes_since(START, 0);
     for termination in reports {
         daemons[to].record(START, termination);
@@ -224,21 +224,21 @@
                 Event::Success { at, request: number } => {
                     daemons[at].excuse(&request(number));
                 }
-                Event::Tell { from, to } => tell(&mut daemons, from, to),
+                Event::SendChanges { from, to } => send_changes(&mut daemons, from, to),
             }
         }
         for _ in 0..3 {
             for from in 0..3 {
                 for to in 0..3 {
-                    tell(&mut daemons, from, to);
+                    send_changes(&mut daemons, from, to);
                 }
             }
         }
         let held = |daemon: &Suspects, number| daemon.hold_left_ms(START, &request(number)).is_some();
         for number in 0..3 {
-            let verdicts: Vec<bool> = daemons.iter().map(|daemon| held(daemon, number)).collect();
-            prop_assert_eq!(verdicts[0], verdicts[1]);
-            prop_assert_eq!(verdicts[0], verdicts[2]);
+            let decisions: Vec<bool> = daemons.iter().map(|daemon| held(daemon, number)).collect();
+            prop_assert_eq!(decisions[0], decisions[1]);
+            prop_assert_eq!(decisions[0], decisions[2]);
         }
     }
 }
--- a/crates/moleroad_rollout/src/choice.rs
+++ b/crates/moleroad_rollout/src/choice.rs
@@ -4,7 +4,7 @@
 use crate::sources::TakeoverTimeouts;
 use crate::trees::{DistributionTrees, FANOUT};
 
-/// What an agent knows about a piece that it lacks.
+/// A piece that an agent lacks, with the sources known to that agent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MissingPiece {
     /// Number of the piece.
--- a/crates/moleroad_rollout/src/superseded.rs
+++ b/crates/moleroad_rollout/src/superseded.rs
@@ -18,7 +18,7 @@
 /// in milliseconds: about what switching weights costs each of them.
 const MIN_USE_MS: u64 = 1_000;
 
-/// What an agent knows about a version that it fetches and about newer ones.
+/// State of the fetch of a version for which newer ones may exist, as known to the agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SupersededFetch {
     /// Number of pieces in the version.
--- a/crates/moleroad_rollout/tests/model/mod.rs
+++ b/crates/moleroad_rollout/tests/model/mod.rs
@@ -40,7 +40,7 @@
     /// When the last agent had all pieces, in milliseconds.
     pub done_ms: u64,
     /// Number of pieces that left the origin.
-    pub draws: usize,
+    pub origin_fetches: usize,
     /// Number of pieces that entered a region from another one; the maximum over all
     /// regions.
     pub crossings: usize,
@@ -55,7 +55,7 @@
 /// Number of pieces that may queue for an agent's link before it refuses.
 const MAX_QUEUED_SENDS: u64 = 2;
 /// Maximum number of holders of a piece that are counted.
-const MOST_COUNTED: usize = 8;
+const MAX_COUNTED: usize = 8;
 /// Interval at which an agent looks for pieces to fetch, in milliseconds.
 const POLL_MS: u64 = 40;
 /// How long a source that refused is left alone, in milliseconds.
@@ -108,10 +108,10 @@
     name: InstanceId,
     region: usize,
     is_dead: bool,
-    began_ms: u64,
+    started_ms: u64,
     /// Start of the schedule of pieces at the origin.
     schedule_start_ms: u64,
-    turns: OriginSchedule,
+    schedule: OriginSchedule,
     progress_ms: u64,
     held: HashSet<u32>,
     offers: HashMap<u32, Vec<usize>>,
@@ -119,12 +119,12 @@
     announced_own: HashMap<u32, u64>,
     in_flight: HashMap<u32, Source>,
     backoffs: HashMap<(u32, Source), u64>,
-    origin_pause: Backoff,
+    origin_backoff: Backoff,
     origin_failed_ms: Option<u64>,
-    far_known_ms: HashMap<u32, u64>,
+    far_holders_known_ms: HashMap<u32, u64>,
     up_free_ms: u64,
     down_free_ms: u64,
-    spread: DistributionTrees,
+    trees: DistributionTrees,
 }
 
 impl Agent {
@@ -132,8 +132,8 @@
         if now - self.progress_ms >= STALL_MS {
             self.schedule_start_ms = now;
             let missing: Vec<u32> = (0..pieces).filter(|p| !self.held.contains(p)).collect();
-            self.turns = OriginSchedule::of_missing(&missing);
-            self.origin_pause.reset();
+            self.schedule = OriginSchedule::of_missing(&missing);
+            self.origin_backoff.reset();
             if from == Source::Origin {
                 self.origin_failed_ms = None;
             }
@@ -153,7 +153,7 @@
     sequence: u64,
     origin_free_ms: u64,
     origin_used: usize,
-    draws: usize,
+    origin_fetches: usize,
     crossings: Vec<usize>,
     random: SmallRng,
 }
@@ -179,10 +179,10 @@
                 name: name(index),
                 region: region_of(index),
                 is_dead: dead.contains(&index),
-                began_ms: random.random_range(0..200),
+                started_ms: random.random_range(0..200),
                 // All know when the version was announced.
                 schedule_start_ms: 0,
-                turns: OriginSchedule::all(),
+                schedule: OriginSchedule::all(),
                 progress_ms: 0,
                 held: HashSet::new(),
                 offers: HashMap::new(),
@@ -190,12 +190,12 @@
                 announced_own: HashMap::new(),
                 in_flight: HashMap::new(),
                 backoffs: HashMap::new(),
-                origin_pause: Backoff::with_max(400),
+                origin_backoff: Backoff::with_max(400),
                 origin_failed_ms: None,
-                far_known_ms: HashMap::new(),
+                far_holders_known_ms: HashMap::new(),
                 up_free_ms: 0,
                 down_free_ms: 0,
-                spread: DistributionTrees::new(
+                trees: DistributionTrees::new(
                     &name(index),
                     &members,
                     Some("region-0"),
@@ -214,16 +214,16 @@
             sequence: 0,
             origin_free_ms: 0,
             origin_used: 0,
-            draws: 0,
+            origin_fetches: 0,
             crossings: vec![0; setup.regions],
             random,
             agents,
             setup,
         };
         for index in 0..swarm.agents.len() {
-            let began_ms = swarm.agents[index].began_ms;
-            if !swarm.is_dead(index, began_ms) {
-                swarm.at(began_ms, Event::Poll(index));
+            let started_ms = swarm.agents[index].started_ms;
+            if !swarm.is_dead(index, started_ms) {
+                swarm.at(started_ms, Event::Poll(index));
             }
         }
         swarm
@@ -249,16 +249,16 @@
             if let Event::Arrived { .. } = event {
                 done_ms = now;
             }
-            self.take(now, event);
+            self.handle(now, event);
         }
         Outcome {
             done_ms,
-            draws: self.draws,
+            origin_fetches: self.origin_fetches,
             crossings: self.crossings.iter().copied().max().unwrap_or(0),
         }
     }
 
-    fn take(&mut self, now: u64, event: Event) {
+    fn handle(&mut self, now: u64, event: Event) {
         match event {
             Event::Poll(agent)
             | Event::Arrived { to: agent, .. }
@@ -290,7 +290,7 @@
             }
             Event::Skipped { agent, from, piece } => self.offer(now, agent, from, piece),
             Event::Arrived { to, from, piece } => {
-                self.end(to, from, piece);
+                self.end_fetch(to, from, piece);
                 let pieces = self.setup.pieces;
                 self.agents[to].note_progress(now, pieces, from);
                 self.agents[to].held.insert(piece);
@@ -305,14 +305,16 @@
                 self.fetch(now, to);
             }
             Event::Failed { to, from, piece } => {
-                self.end(to, from, piece);
+                self.end_fetch(to, from, piece);
                 let agent = &mut self.agents[to];
                 agent.backoffs.insert((piece, from), now + BACKOFF_MS);
                 match from {
                     Source::Origin => {
                         agent.origin_failed_ms = Some(now);
-                        let draw = self.random.random();
-                        agent.origin_pause.record_result(Millis(now), false, draw);
+                        let random = self.random.random();
+                        agent
+                            .origin_backoff
+                            .record_result(Millis(now), false, random);
                     }
                     Source::Agent(source) if self.is_dead(source, now) => {
                         let offers = self.agents[to].offers.values_mut();
@@ -329,7 +331,7 @@
         }
     }
 
-    fn end(&mut self, to: usize, from: Source, piece: u32) {
+    fn end_fetch(&mut self, to: usize, from: Source, piece: u32) {
         self.agents[to].in_flight.remove(&piece);
         if from == Source::Origin {
             self.origin_used = self.origin_used.saturating_sub(1);
@@ -339,7 +341,7 @@
     /// Offers the piece that `from` holds to the children of `of`.
     fn offer(&mut self, now: u64, of: usize, from: usize, piece: u32) {
         let children = self.agents[from]
-            .spread
+            .trees
             .children(&self.agents[of].name, piece);
         let children: Vec<usize> = children.iter().map(|name| self.by_name[*name]).collect();
         for to in children {
@@ -351,7 +353,7 @@
 
     /// Offers the piece to the agents to which its fetch was announced.
     fn offer_to_announced(&mut self, now: u64, from: usize, piece: u32) {
-        for to in self.told_of_draw(from, piece) {
+        for to in self.announcement_recipients(from, piece) {
             if !self.is_dead(to, now) {
                 self.at(now + MESSAGE_DELAY_MS, Event::Offer { to, from, piece });
             }
@@ -367,18 +369,18 @@
             return;
         }
         own.insert(piece, now);
-        for to in self.told_of_draw(index, piece) {
+        for to in self.announcement_recipients(index, piece) {
             self.at(now + MESSAGE_DELAY_MS, Event::Announced { to, piece });
         }
     }
 
-    fn told_of_draw(&self, index: usize, piece: u32) -> Vec<usize> {
-        let recipients = self.agents[index].spread.announcement_recipients(piece);
+    fn announcement_recipients(&self, index: usize, piece: u32) -> Vec<usize> {
+        let recipients = self.agents[index].trees.announcement_recipients(piece);
         recipients.iter().map(|name| self.by_name[*name]).collect()
     }
 
     fn fetch(&mut self, now: u64, index: usize) {
-        while now >= self.agents[index].began_ms {
+        while now >= self.agents[index].started_ms {
             let in_flight = self.agents[index].in_flight.values();
             let from_agents = in_flight.filter(|from| **from != Source::Origin).count();
             let Some((piece, from)) = self.next(now, index, from_agents < CONCURRENT_FETCHES)
@@ -389,20 +391,20 @@
             if from == Source::Origin {
                 self.announce(now, index, piece);
             }
-            self.ask(now, index, from, piece);
+            self.request(now, index, from, piece);
         }
     }
 
-    fn next(&mut self, now: u64, index: usize, takes_more: bool) -> Option<(u32, Source)> {
-        let mut far_known_ms = std::mem::take(&mut self.agents[index].far_known_ms);
+    fn next(&mut self, now: u64, index: usize, may_fetch_more: bool) -> Option<(u32, Source)> {
+        let mut far_holders_known_ms = std::mem::take(&mut self.agents[index].far_holders_known_ms);
         let agent = &self.agents[index];
         let conditions = FetchConditions {
             timeouts: TakeoverTimeouts::for_pieces(self.setup.link_piece_ms * 1_000 / 8, 1.0),
             elapsed_ms: now - agent.schedule_start_ms,
-            schedule: agent.turns.clone(),
+            schedule: agent.schedule.clone(),
             origin_piece_ms: self.setup.origin_piece_ms,
             link_piece_ms: self.setup.link_piece_ms,
-            can_ask_origin: !agent.origin_pause.is_active(Millis(now))
+            can_ask_origin: !agent.origin_backoff.is_active(Millis(now))
                 && !agent.in_flight.values().any(|from| *from == Source::Origin),
             may_cross_regions: true,
             highest_seen: agent.held.iter().chain(agent.offers.keys()).max().copied(),
@@ -410,7 +412,7 @@
         };
         let missing = (0..self.setup.pieces).filter(|piece| !agent.held.contains(piece));
         let due: Vec<u32> = missing
-            .filter(|piece| should_announce(*piece, &agent.spread, &conditions))
+            .filter(|piece| should_announce(*piece, &agent.trees, &conditions))
             .collect();
         due.into_iter()
             .for_each(|piece| self.announce(now, index, piece));
@@ -429,12 +431,12 @@
             }
             let holders = |regions: &mut dyn Iterator<Item = usize>| {
                 let known = regions.flat_map(|region| self.known[region].get(&piece));
-                let sound = known
+                let usable = known
                     .flatten()
                     .filter(|holder| !is_backed_off(piece, Source::Agent(**holder)));
-                sound.take(MOST_COUNTED).count()
+                usable.take(MAX_COUNTED).count()
             };
-            let far = holders(&mut (0..self.setup.regions).filter(|r| *r != agent.region));
+            let far_holders = holders(&mut (0..self.setup.regions).filter(|r| *r != agent.region));
             let offers = agent.offers.get(&piece).into_iter().flatten();
             let missing = MissingPiece {
                 piece,
@@ -447,21 +449,21 @@
                     agent.announced.get(&piece).map(|at| now - at)
                 },
                 near_holders: holders(&mut std::iter::once(agent.region)),
-                far_holders: far,
-                far_holders_known_ms: if far > 0 {
-                    now - *far_known_ms.entry(piece).or_insert(now)
+                far_holders,
+                far_holders_known_ms: if far_holders > 0 {
+                    now - *far_holders_known_ms.entry(piece).or_insert(now)
                 } else {
                     0
                 },
             };
-            if let Some((kind, order)) = choose_source(missing, &agent.spread, &conditions)
-                && (takes_more || kind == SourceKind::Origin)
+            if let Some((kind, order)) = choose_source(missing, &agent.trees, &conditions)
+                && (may_fetch_more || kind == SourceKind::Origin)
                 && best.is_none_or(|(_, _, known)| order < known)
             {
                 best = Some((piece, kind, order));
             }
         }
-        self.agents[index].far_known_ms = far_known_ms;
+        self.agents[index].far_holders_known_ms = far_holders_known_ms;
         let (piece, kind, _) = best?;
         let agent = &self.agents[index];
         let is_backed_off = |piece, from| {
@@ -471,54 +473,63 @@
                 .is_some_and(|until| now < *until)
         };
         let offers = agent.offers.get(&piece).cloned().unwrap_or_default();
-        let is_sound = |holder: &usize| !is_backed_off(piece, Source::Agent(*holder));
+        let is_usable = |holder: &usize| !is_backed_off(piece, Source::Agent(*holder));
         let holders = |is_near: bool| {
             let regions = (0..self.setup.regions).filter(|r| (*r == agent.region) == is_near);
             let known = regions.flat_map(|region| self.known[region].get(&piece));
             known
                 .flatten()
                 .copied()
-                .filter(is_sound)
+                .filter(is_usable)
                 .collect::<Vec<_>>()
         };
         let holders = match kind {
             SourceKind::Origin => return Some((piece, Source::Origin)),
-            SourceKind::Offer => offers.into_iter().find(is_sound).into_iter().collect(),
+            SourceKind::Offer => offers.into_iter().find(is_usable).into_iter().collect(),
             SourceKind::OwnRegion => holders(true),
             SourceKind::OtherRegions => holders(false),
         };
-        let draw = self.random.random_range(0..holders.len());
-        Some((piece, Source::Agent(holders[draw])))
+        let index = self.random.random_range(0..holders.len());
+        Some((piece, Source::Agent(holders[index])))
     }
 
-    fn ask(&mut self, now: u64, to: usize, from: Source, piece: u32) {
-        let asked = now + MESSAGE_DELAY_MS;
+    fn request(&mut self, now: u64, to: usize, from: Source, piece: u32) {
+        let requested = now + MESSAGE_DELAY_MS;
         match from {
             Source::Origin => {
-                let is_off = self.setup.origin_off.contains(&asked);
+                let is_off = self.setup.origin_off.contains(&requested);
                 self.origin_used += 1;
                 if is_off || self.origin_used > self.setup.origin_connections {
-                    self.at(asked + MESSAGE_DELAY_MS, Event::Failed { to, from, piece });
+                    self.at(
+                        requested + MESSAGE_DELAY_MS,
+                        Event::Failed { to, from, piece },
+                    );
                     return;
                 }
-                let sent = self.origin_free_ms.max(asked) + self.setup.origin_piece_ms;
+                let sent = self.origin_free_ms.max(requested) + self.setup.origin_piece_ms;
                 self.origin_free_ms = sent;
-                if sent >= self.setup.origin_off.start && asked < self.setup.origin_off.start {
+                if sent >= self.setup.origin_off.start && requested < self.setup.origin_off.start {
                     let off = self.setup.origin_off.start;
                     self.at(off, Event::Failed { to, from, piece });
                     return;
                 }
-                self.draws += 1;
+                self.origin_fetches += 1;
                 self.deliver(sent, to, from, piece);
             }
             Source::Agent(source) if self.is_dead(source, now) => {
-                self.at(asked + MESSAGE_DELAY_MS, Event::Failed { to, from, piece });
+                self.at(
+                    requested + MESSAGE_DELAY_MS,
+                    Event::Failed { to, from, piece },
+                );
             }
             Source::Agent(source) => {
                 let piece_ms = self.setup.link_piece_ms;
-                let start = self.agents[source].up_free_ms.max(asked);
-                if start >= asked + piece_ms * MAX_QUEUED_SENDS {
-                    self.at(asked + MESSAGE_DELAY_MS, Event::Failed { to, from, piece });
+                let start = self.agents[source].up_free_ms.max(requested);
+                if start >= requested + piece_ms * MAX_QUEUED_SENDS {
+                    self.at(
+                        requested + MESSAGE_DELAY_MS,
+                        Event::Failed { to, from, piece },
+                    );
                     return;
                 }
                 self.agents[source].up_free_ms = start + piece_ms;
--- a/crates/moleroad_rollout/tests/rollout.rs
+++ b/crates/moleroad_rollout/tests/rollout.rs
@@ -16,24 +16,24 @@
 const PIECES: u32 = 400;
 
 /// Returns the sources that `own` may use for a piece.
-fn permission(
+fn allowed_sources(
     own: &InstanceId,
     members: &[Member],
     origin_region: Option<&str>,
     piece: u32,
-    patience: TakeoverTimeouts,
+    timeouts: TakeoverTimeouts,
     idle_ms: u64,
 ) -> AllowedSources {
-    let spread = DistributionTrees::new(own, members, origin_region, PIECES);
-    spread.allowed_sources(piece, patience, idle_ms)
+    let trees = DistributionTrees::new(own, members, origin_region, PIECES);
+    trees.allowed_sources(piece, timeouts, idle_ms)
 }
 
 fn granted(idle_ms: u64, piece: u32) -> (usize, usize) {
     let members = members();
-    let patience = TakeoverTimeouts::for_pieces(49_152, 9.4);
+    let timeouts = TakeoverTimeouts::for_pieces(49_152, 9.4);
     let all = members.iter().map(|member| {
         let own = &member.instance;
-        permission(own, &members, Some("south"), piece, patience, idle_ms)
+        allowed_sources(own, &members, Some("south"), piece, timeouts, idle_ms)
     });
     let all: Vec<AllowedSources> = all.collect();
     (
@@ -51,18 +51,24 @@
 
 #[test]
 fn agents_that_get_nothing_take_over_one_after_the_other() {
-    let patience = TakeoverTimeouts::for_pieces(49_152, 9.4);
-    let turn_ms = patience.across_regions_ms;
+    let timeouts = TakeoverTimeouts::for_pieces(49_152, 9.4);
+    let timeout_ms = timeouts.across_regions_ms;
     // Four agents in each of three regions.
-    assert_eq!(granted(turn_ms - 1, 7), (1, 2));
-    assert_eq!(granted(turn_ms, 7), (2, 5));
-    for turn in 2..4 {
-        let (from_origin, across) = granted(turn * turn_ms, 7);
-        assert!(from_origin <= 3 * (turn as usize + 1), "turn {turn}");
-        assert!(across <= 3 * (turn as usize + 1), "turn {turn}");
+    assert_eq!(granted(timeout_ms - 1, 7), (1, 2));
+    assert_eq!(granted(timeout_ms, 7), (2, 5));
+    for takeovers in 2..4 {
+        let (from_origin, across) = granted(takeovers * timeout_ms, 7);
+        assert!(
+            from_origin <= 3 * (takeovers as usize + 1),
+            "{takeovers} takeovers"
+        );
+        assert!(
+            across <= 3 * (takeovers as usize + 1),
+            "{takeovers} takeovers"
+        );
     }
     // No agent waits forever.
-    assert_eq!(granted(4 * turn_ms + patience.origin_ms, 7), (12, 12));
+    assert_eq!(granted(4 * timeout_ms + timeouts.origin_ms, 7), (12, 12));
 }
 
 #[test]
@@ -72,28 +78,29 @@
         region: ["north", "south"][index % 2].into(),
     };
     let members: Vec<Member> = (0..300).map(member).collect();
-    let patience = TakeoverTimeouts::for_pieces(49_152, 9.4);
-    let asks = |member: &&Member| {
+    let timeouts = TakeoverTimeouts::for_pieces(49_152, 9.4);
+    let asks_origin = |member: &&Member| {
         let own = &member.instance;
-        let idle_ms = 2 * patience.origin_ms;
-        permission(own, &members, Some("south"), 7, patience, idle_ms).from_origin
+        let idle_ms = 2 * timeouts.origin_ms;
+        allowed_sources(own, &members, Some("south"), 7, timeouts, idle_ms).from_origin
     };
-    assert!(members.iter().filter(asks).count() <= 8);
+    assert!(members.iter().filter(asks_origin).count() <= 8);
 }
 
 #[test]
 fn offers_reach_every_agent_once_and_enter_each_region_by_the_agent_that_may_carry() {
     let members = members();
-    let patience = TakeoverTimeouts::for_pieces(49_152, 9.4);
+    let timeouts = TakeoverTimeouts::for_pieces(49_152, 9.4);
     let own = &members[0].instance;
-    let spread = DistributionTrees::new(own, &members, Some("south"), PIECES);
+    let trees = DistributionTrees::new(own, &members, Some("south"), PIECES);
     let region_of = |agent: &InstanceId| {
         let member = members.iter().find(|member| member.instance == *agent);
         member.unwrap().region.clone()
     };
     for piece in 0..50 {
-        let may =
-            |agent: &InstanceId| permission(agent, &members, Some("south"), piece, patience, 0);
+        let may = |agent: &InstanceId| {
+            allowed_sources(agent, &members, Some("south"), piece, timeouts, 0)
+        };
         let mut reached: Vec<InstanceId> = members
             .iter()
             .map(|member| member.instance.clone())
@@ -102,7 +109,7 @@
         assert_eq!(reached.len(), 1, "one root of piece {piece}");
         let mut at = 0;
         while let Some(agent) = reached.get(at).cloned() {
-            let children = spread.children(&agent, piece);
+            let children = trees.children(&agent, piece);
             assert!(children.len() <= 4, "{agent} offers to {children:?}");
             for child in children {
                 assert!(!reached.contains(child), "{child} gets piece {piece} twice");
@@ -120,17 +127,17 @@
 #[test]
 fn an_agent_that_is_no_member_has_no_place_in_the_trees() {
     let stranger = InstanceId::new("stranger");
-    let spread = DistributionTrees::new(&stranger, &members(), Some("south"), PIECES);
-    assert_eq!(spread.rank(3), None);
-    assert!(spread.children(&stranger, 3).is_empty());
+    let trees = DistributionTrees::new(&stranger, &members(), Some("south"), PIECES);
+    assert_eq!(trees.rank(3), None);
+    assert!(trees.children(&stranger, 3).is_empty());
 }
 
 #[test]
 fn the_origin_is_asked_for_one_piece_after_the_other() {
     let members = members();
-    let patience = TakeoverTimeouts::for_pieces(49_152, 9.4);
+    let timeouts = TakeoverTimeouts::for_pieces(49_152, 9.4);
     let conditions = |elapsed_ms| FetchConditions {
-        timeouts: patience,
+        timeouts,
         elapsed_ms,
         schedule: OriginSchedule::all(),
         origin_piece_ms: 26,
@@ -140,32 +147,32 @@
         may_cross_regions: true,
         highest_seen: None,
     };
-    let asks = |elapsed_ms: u64| {
+    let asked_pieces = |elapsed_ms: u64| {
         let asked = members.iter().flat_map(|member| {
-            let spread = DistributionTrees::new(&member.instance, &members, Some("south"), PIECES);
+            let trees = DistributionTrees::new(&member.instance, &members, Some("south"), PIECES);
             let conditions = conditions(elapsed_ms);
             (0..48).filter(move |piece| {
                 let missing = MissingPiece {
                     piece: *piece,
                     ..MissingPiece::default()
                 };
-                let source = choose_source(missing, &spread, &conditions);
+                let source = choose_source(missing, &trees, &conditions);
                 matches!(source, Some((SourceKind::Origin, _)))
             })
         });
         asked.collect::<Vec<u32>>()
     };
-    assert_eq!(asks(0), [0]);
+    assert_eq!(asked_pieces(0), [0]);
     // Ten pieces have left the origin; two more are requested, so that one late agent
     // does not leave it idle.
-    let mut early = asks(26 * 10);
+    let mut early = asked_pieces(26 * 10);
     early.sort();
     assert_eq!(early, (0..=12).collect::<Vec<u32>>());
-    let mut middle = asks(26 * 30);
+    let mut middle = asked_pieces(26 * 30);
     middle.sort();
     assert_eq!(middle, (0..=37).collect::<Vec<u32>>());
     // The agents responsible for a piece may be dead: others eventually take over.
-    let late = asks(26 * 48 + 42 * 48 + 10 * patience.origin_ms);
+    let late = asked_pieces(26 * 48 + 42 * 48 + 10 * timeouts.origin_ms);
     assert!((0..48).all(|piece| late.iter().filter(|asked| **asked == piece).count() > 1));
 }
 
@@ -173,7 +180,7 @@
 fn what_was_offered_goes_before_what_is_known_by_the_directory() {
     let members = members();
     let own = &members[1].instance;
-    let spread = DistributionTrees::new(own, &members, Some("south"), PIECES);
+    let trees = DistributionTrees::new(own, &members, Some("south"), PIECES);
     let conditions = FetchConditions {
         timeouts: TakeoverTimeouts::for_pieces(49_152, 9.4),
         elapsed_ms: 0,
@@ -185,13 +192,13 @@
         may_cross_regions: true,
         highest_seen: None,
     };
-    let known = |offered, near| MissingPiece {
+    let known = |offered, near_holders| MissingPiece {
         piece: 7,
         offered,
-        near_holders: near,
+        near_holders,
         ..MissingPiece::default()
     };
-    let order = |missing| choose_source(missing, &spread, &conditions);
+    let order = |missing| choose_source(missing, &trees, &conditions);
     let (offer, near) = (
         order(known(true, 2)).unwrap(),
         order(known(false, 2)).unwrap(),
@@ -209,32 +216,32 @@
 #[test]
 fn an_agent_that_is_alone_goes_to_the_origin() {
     let own = InstanceId::new("alone");
-    let patience = TakeoverTimeouts::for_pieces(1_000, 10.0);
-    let alone = permission(&own, &[], None, 3, patience, 0);
+    let timeouts = TakeoverTimeouts::for_pieces(1_000, 10.0);
+    let alone = allowed_sources(&own, &[], None, 3, timeouts, 0);
     assert!(alone.from_origin);
 }
 
 #[test]
 fn work_is_spread_over_the_agents_of_the_first_region() {
     let members = members();
-    let patience = TakeoverTimeouts::for_pieces(49_152, 9.4);
+    let timeouts = TakeoverTimeouts::for_pieces(49_152, 9.4);
     for member in members.iter().filter(|member| member.region == "south") {
-        let draws = (0..400)
+        let fetches = (0..400)
             .filter(|piece| {
-                permission(
+                allowed_sources(
                     &member.instance,
                     &members,
                     Some("south"),
                     *piece,
-                    patience,
+                    timeouts,
                     0,
                 )
                 .from_origin
             })
             .count();
         assert!(
-            (50..160).contains(&draws),
-            "{} fetches {draws}",
+            (50..160).contains(&fetches),
+            "{} fetches {fetches}",
             member.instance
         );
     }
@@ -268,10 +275,10 @@
             .collect();
         assert!(times.iter().all(|at| *at <= plan.latest_start_ms));
         let changing = |at: u64| {
-            let begun = times
+            let switching = times
                 .iter()
-                .filter(|begun| (**begun..**begun + plan.outage_ms).contains(&at));
-            begun.count()
+                .filter(|start| (**start..**start + plan.outage_ms).contains(&at));
+            switching.count()
         };
         let most = (0..8_000).map(changing).max().unwrap();
         // Engines that are staged later may overlap with the next wave.
@@ -289,40 +296,40 @@
 
 #[test]
 fn a_source_that_refuses_is_left_alone_for_longer_each_time() {
-    let mut pause = Backoff::default();
+    let mut backoff = Backoff::default();
     let mut now = Millis(0);
     let mut calls = 0;
     while now < Millis(10_000) {
-        if !pause.is_active(now) {
+        if !backoff.is_active(now) {
             calls += 1;
-            pause.record_result(now, false, 0);
+            backoff.record_result(now, false, 0);
         }
         now = now + 10;
     }
     assert!(calls < 25, "{calls} calls");
     assert!(calls > 8, "{calls} calls");
-    pause.record_result(now, true, 0);
-    assert!(!pause.is_active(now));
+    backoff.record_result(now, true, 0);
+    assert!(!backoff.is_active(now));
 }
 
 #[test]
 fn a_pause_is_as_long_as_its_owner_says_and_can_be_ended() {
-    let mut pause = Backoff::with_max(400);
+    let mut backoff = Backoff::with_max(400);
     for _ in 0..10 {
-        pause.record_result(Millis(0), false, 399);
-        pause.reset();
+        backoff.record_result(Millis(0), false, 399);
+        backoff.reset();
     }
     let mut now = Millis(0);
     for _ in 0..10 {
-        while pause.is_active(now) {
+        while backoff.is_active(now) {
             now = now + 1;
         }
-        pause.record_result(now, false, 399);
+        backoff.record_result(now, false, 399);
     }
     // Half of the maximum, plus the random part.
-    assert!(pause.is_active(now + 590) && !pause.is_active(now + 600));
-    pause.reset();
-    assert!(!pause.is_active(now));
+    assert!(backoff.is_active(now + 590) && !backoff.is_active(now + 600));
+    backoff.reset();
+    assert!(!backoff.is_active(now));
 }
 
 #[test]
@@ -336,17 +343,17 @@
     };
     let members: Vec<Member> = (0..25).map(member).collect();
     let (dead, alive) = members.split_at(4);
-    let patience = TakeoverTimeouts::for_pieces(49_152, 9.4);
+    let timeouts = TakeoverTimeouts::for_pieces(49_152, 9.4);
     let is_allowed = |member: &Member, piece, waited_ms| {
         let own = &member.instance;
-        permission(own, &members, Some("south"), piece, patience, waited_ms).from_origin
+        allowed_sources(own, &members, Some("south"), piece, timeouts, waited_ms).from_origin
     };
     let stuck: Vec<u32> = (0..48)
         .filter(|piece| dead.iter().any(|member| is_allowed(member, *piece, 0)))
         .collect();
     assert!(!stuck.is_empty());
     // All of them at the same time, not one after the other.
-    let waited_ms = 4 * patience.across_regions_ms;
+    let waited_ms = 4 * timeouts.across_regions_ms;
     for piece in stuck {
         assert!(
             alive
@@ -361,11 +368,11 @@
     // The agents have all of version 2, all but one piece of 3, and 4 is announced
     // last.
     let has = |version: u64, piece: u32| version <= 2 || (version == 3 && piece != 7);
-    let stands_in = |held, newest| fallback([1, 2, 3, 4], held, newest, 48, has);
-    assert_eq!(stands_in(1, 4), Some(2));
-    assert_eq!(stands_in(1, 3), Some(2));
-    assert_eq!(stands_in(2, 4), None);
-    assert_eq!(stands_in(1, 2), None);
+    let fallback_version = |held, newest| fallback([1, 2, 3, 4], held, newest, 48, has);
+    assert_eq!(fallback_version(1, 4), Some(2));
+    assert_eq!(fallback_version(1, 3), Some(2));
+    assert_eq!(fallback_version(2, 4), None);
+    assert_eq!(fallback_version(1, 2), None);
 }
 
 #[test]
@@ -399,13 +406,13 @@
     let members = members();
     let piece = 7;
     let of_rank = |rank: usize| {
-        let mut spreads = members.iter().map(|member| {
+        let mut all_trees = members.iter().map(|member| {
             DistributionTrees::new(&member.instance, &members, Some("south"), PIECES)
         });
-        spreads.find(|spread| spread.is_in_origin_region() && spread.rank(piece) == Some(rank))
+        all_trees.find(|trees| trees.is_in_origin_region() && trees.rank(piece) == Some(rank))
     };
     let (first, second) = (of_rank(0).unwrap(), of_rank(1).unwrap());
-    let conditions = |elapsed_ms, newest_seen| FetchConditions {
+    let conditions = |elapsed_ms, highest_seen| FetchConditions {
         timeouts: TakeoverTimeouts::for_pieces(49_152, 9.4),
         elapsed_ms,
         schedule: OriginSchedule::all(),
@@ -414,17 +421,17 @@
         can_ask_origin: true,
         origin_failed_ms: None,
         may_cross_regions: true,
-        highest_seen: newest_seen,
+        highest_seen,
     };
-    let draws = |spread: &DistributionTrees, announced_ms, conditions: FetchConditions| {
+    let fetches = |trees: &DistributionTrees, announced_ms, conditions: FetchConditions| {
         let missing = MissingPiece {
             piece,
             announced_ms,
             ..MissingPiece::default()
         };
-        choose_source(missing, spread, &conditions).is_some()
+        choose_source(missing, trees, &conditions).is_some()
     };
-    assert!(draws(&first, None, conditions(260, None)));
+    assert!(fetches(&first, None, conditions(260, None)));
     assert!(should_announce(piece, &first, &conditions(260, None)));
     assert!(!should_announce(piece, &second, &conditions(260, None)));
     // An agent that the origin refused announces nothing, since others would wait for
@@ -435,14 +442,14 @@
     };
     assert!(!should_announce(piece, &first, &refused));
     // The first agent announced nothing, and the origin has moved on.
-    assert!(!draws(&second, None, conditions(400, Some(9))));
-    assert!(draws(&second, None, conditions(700, Some(12))));
+    assert!(!fetches(&second, None, conditions(400, Some(9))));
+    assert!(fetches(&second, None, conditions(700, Some(12))));
     // The first agent announced its fetch recently, or long ago.
-    assert!(!draws(&second, Some(100), conditions(700, Some(12))));
-    assert!(draws(&second, Some(500), conditions(700, Some(12))));
+    assert!(!fetches(&second, Some(100), conditions(700, Some(12))));
+    assert!(fetches(&second, Some(500), conditions(700, Some(12))));
     // The origin is behind schedule, which is not the first agent's fault.
-    assert!(!draws(&second, None, conditions(1_300, Some(3))));
-    assert!(!draws(&second, None, conditions(700, None)));
+    assert!(!fetches(&second, None, conditions(1_300, Some(3))));
+    assert!(!fetches(&second, None, conditions(700, None)));
     // An agent that was skipped gets an announcement of the fetch.
     assert!(!second.announcement_recipients(piece).is_empty());
 }
--- a/crates/moleroad_rollout/tests/swarm.rs
+++ b/crates/moleroad_rollout/tests/swarm.rs
@@ -43,7 +43,7 @@
             let bound_ms = min_copy_ms(&setup) * 3 / 2 + 120 * steps;
             assert!(outcome.done_ms <= bound_ms, "{agents} agents: {outcome:?}");
             // About one copy leaves the origin and enters each other region.
-            assert!(outcome.draws <= 54, "{agents} agents: {outcome:?}");
+            assert!(outcome.origin_fetches <= 54, "{agents} agents: {outcome:?}");
             assert!(outcome.crossings <= 58, "{agents} agents: {outcome:?}");
         }
     }
@@ -75,7 +75,10 @@
         let outcome = run(setup.clone());
         let bound_ms = 6_300 + min_copy_ms(&setup) * 5 / 2;
         assert!(outcome.done_ms <= bound_ms, "{agents} agents: {outcome:?}");
-        assert!(outcome.draws <= 48 * 3, "{agents} agents: {outcome:?}");
+        assert!(
+            outcome.origin_fetches <= 48 * 3,
+            "{agents} agents: {outcome:?}"
+        );
     }
 }
 
@@ -91,7 +94,10 @@
             outcome.done_ms <= min_copy_ms(&setup) * 3,
             "{agents} agents: {outcome:?}"
         );
-        assert!(outcome.draws <= 48 * 3, "{agents} agents: {outcome:?}");
+        assert!(
+            outcome.origin_fetches <= 48 * 3,
+            "{agents} agents: {outcome:?}"
+        );
     }
 }
 
@@ -144,7 +150,10 @@
             // through the trees.
             let bound_ms = back_ms + 1_500 + 250 + 100 * u64::from(agents.ilog2());
             assert!(outcome.done_ms <= bound_ms, "{agents} agents: {outcome:?}");
-            assert!(outcome.draws <= 96 * 2, "{agents} agents: {outcome:?}");
+            assert!(
+                outcome.origin_fetches <= 96 * 2,
+                "{agents} agents: {outcome:?}"
+            );
         }
     }
 }
@@ -160,7 +169,10 @@
                 ..setup(agents, seed)
             };
             let outcome = run(setup.clone());
-            assert!(outcome.draws <= 105, "{agents} agents: {outcome:?}");
+            assert!(
+                outcome.origin_fetches <= 105,
+                "{agents} agents: {outcome:?}"
+            );
         }
     }
 }
