--- a/crates/moleroad_consensus/tests/support/mod.rs
+++ b/crates/moleroad_consensus/tests/support/mod.rs
@@ -218,9 +218,9 @@
         let infos: Vec<MemberInfo> = (1..=count)
             .map(|id| group.add_member(id, &format!("instance-{id}")))
             .collect();
-        let founding = Configuration::of_voters(infos.clone());
+        let initial = Configuration::of_voters(infos.clone());
         for info in infos {
-            group.event(info.id, Event::Bootstrap(founding.clone()));
+            group.event(info.id, Event::Bootstrap(initial.clone()));
         }
         group
     }
--- a/crates/moleroad_directory/src/relays.rs
+++ b/crates/moleroad_directory/src/relays.rs
@@ -93,15 +93,15 @@
     }
 }
 
-/// Returns at most `most` records in descending order of weight.
+/// Returns at most `max_count` records in descending order of weight.
 fn ranked<'a>(
     mut records: Vec<&'a DaemonRecord>,
     chooser: &str,
-    most: usize,
+    max_count: usize,
 ) -> Vec<&'a DaemonRecord> {
     records.sort_by_cached_key(|record| {
         std::cmp::Reverse(rendezvous_weight(chooser, &record.instance))
     });
-    records.truncate(most);
+    records.truncate(max_count);
     records
 }
--- a/crates/moleroad_directory/tests/news.rs
+++ b/crates/moleroad_directory/tests/news.rs
@@ -259,13 +259,13 @@
 #[test]
 fn a_daemon_that_calls_again_after_a_while_is_told_to_other_halls_anew() {
     let mut callee = directory_of(3, 0);
-    let guest = daemon(50, "h2");
-    callee.merge_daemon(Millis(0), guest.clone(), 0);
+    let remote_caller = daemon(50, "h2");
+    callee.merge_daemon(Millis(0), remote_caller.clone(), 0);
     let mut caller = Caller::new("asker");
     caller.pull(0, &callee, of_hall(true));
     assert_eq!(caller.last_seen("h2-50"), None, "it made no direct call");
-    callee.refresh_daemon(Millis(10_000), &RecordVersion::of(&guest), 0);
-    callee.record_direct_contact(Millis(10_000), &guest.instance);
+    callee.refresh_daemon(Millis(10_000), &RecordVersion::of(&remote_caller), 0);
+    callee.record_direct_contact(Millis(10_000), &remote_caller.instance);
     let outcome = caller.pull(10_100, &callee, of_hall(true));
     assert!(outcome.is_complete);
     assert_eq!(caller.last_seen("h2-50"), Some(10_000));
--- a/crates/moleroad_directory/tests/relays.rs
+++ b/crates/moleroad_directory/tests/relays.rs
@@ -131,9 +131,9 @@
 #[test]
 fn a_record_without_pieces_does_not_take_known_pieces_away() {
     let mut directory = two_halls();
-    let mut stripped = agent("h1-agent", "h1", 5);
-    stripped.pieces.clear();
-    assert!(!directory.merge_daemon(Millis(1), stripped, 0));
+    let mut without_pieces = agent("h1-agent", "h1", 5);
+    without_pieces.pieces.clear();
+    assert!(!directory.merge_daemon(Millis(1), without_pieces, 0));
     let known = directory.daemon(&InstanceId::new("h1-agent")).unwrap();
     assert_eq!(known.record.pieces.len(), 1);
 }
--- a/crates/moleroad_dispatch/benches/grant.rs
+++ b/crates/moleroad_dispatch/benches/grant.rs
@@ -9,8 +9,8 @@
 fn grants(c: &mut Criterion) {
     let bound = RateBound::new(15.0, 1.5, 5.0);
     c.bench_function("one grant, with its terms", |b| {
-        let terms = bound.bucket_params().expect("terms");
-        let mut bucket = TokenBucket::new(Millis(0), terms);
+        let params = bound.bucket_params().expect("terms");
+        let mut bucket = TokenBucket::new(Millis(0), params);
         let mut at = 0;
         b.iter(|| {
             at += 1;
--- a/crates/moleroad_dispatch/src/admission.rs
+++ b/crates/moleroad_dispatch/src/admission.rs
@@ -63,30 +63,30 @@
     /// target that turned cold or advertised a limit since it was chosen has one.
     pub fn may_still_send(&self, now: Millis, chosen: &Candidate) -> bool {
         // `None`: it was chosen without a grant or a quota reservation.
-        let in_time = chosen.granted_until.map(|until| now <= until);
+        let unexpired = chosen.granted_until.map(|until| now <= until);
         let Some(known) = self.candidate(&chosen.id) else {
             return false;
         };
-        if in_time == Some(false) {
+        if unexpired == Some(false) {
             return false;
         }
         if !self.is_rate_limited(now, known) {
             return true;
         }
-        if in_time.is_none() || (known.limit.is_some() && chosen.limit.is_none()) {
+        if unexpired.is_none() || (known.limit.is_some() && chosen.limit.is_none()) {
             return false;
         }
         if self.cold_until(now, known).is_none() {
             return true;
         }
-        let is_by_grant =
+        let needs_agent_grant =
             |candidate: &Candidate| candidate.cold.as_deref().map(|cold| cold.requires_grant);
         // The quota is not checked again: this send already counts against it.
-        let is_open = match known.cold.as_deref() {
+        let is_admitted = match known.cold.as_deref() {
             Some(cold) if !cold.requires_grant => cold.quota > 0 && now >= cold.quota_from,
             _ => self.admission(now, known) == Admission::Grant,
         };
-        is_by_grant(chosen) == is_by_grant(known) && is_open
+        needs_agent_grant(chosen) == needs_agent_grant(known) && is_admitted
     }
 
     /// Returns whether the target's request rate is limited now, because it is cold or
--- a/crates/moleroad_dispatch/src/backoff.rs
+++ b/crates/moleroad_dispatch/src/backoff.rs
@@ -60,15 +60,15 @@
     /// Returns whether it applies to the incarnation of `target` that started at
     /// `born_ms`. An incarnation that started before the answer is the one that sent
     /// it, even if its first heartbeat arrived later: an address has one incarnation at
-    /// a time. The wall clock may be wrong by seconds; then a target that has just
-    /// started is backed off from for no reason, or one that asked for it is not.
+    /// a time. The wall clock may be wrong by seconds; then this daemon may back
+    /// off from a target that has just started, or fail to back off from one that asked.
     fn applies_to(&self, target: &TargetId, born_ms: u64) -> bool {
         let is_same_target = self.from.target == *target;
         if self.from.born_ms == 0 || born_ms == 0 {
             return is_same_target;
         }
-        let is_same_life = is_same_target && self.from.born_ms == born_ms;
-        is_same_life || born_ms <= self.answered_unix_ms
+        let is_same_incarnation = is_same_target && self.from.born_ms == born_ms;
+        is_same_incarnation || born_ms <= self.answered_unix_ms
     }
 }
 
@@ -83,10 +83,12 @@
     /// in milliseconds. A shorter backoff does not shorten an earlier one.
     pub fn record(&mut self, now: Millis, from: Responder, answered_unix_ms: u64, backoff_ms: u64) {
         self.by_address.retain(|_, backoff| backoff.until > now);
-        let asked_until = now + backoff_ms;
+        let requested_until = now + backoff_ms;
         let known = self.by_address.get(&from.address);
         let known = known.filter(|backoff| backoff.applies_to(&from.target, from.born_ms));
-        let until = known.map_or(asked_until, |backoff| backoff.until.max(asked_until));
+        let until = known.map_or(requested_until, |backoff| {
+            backoff.until.max(requested_until)
+        });
         let backoff = Backoff {
             from,
             answered_unix_ms,
@@ -98,7 +100,7 @@
     /// Returns until when to back off from a target; `None` if no backoff applies.
     pub fn until(&self, now: Millis, target: &Responder) -> Option<Millis> {
         let backoff = self.by_address.get(&target.address)?;
-        let is_its_own = backoff.applies_to(&target.target, target.born_ms);
-        (backoff.until > now && is_its_own).then_some(backoff.until)
+        let applies = backoff.applies_to(&target.target, target.born_ms);
+        (backoff.until > now && applies).then_some(backoff.until)
     }
 }
--- a/crates/moleroad_dispatch/src/budget.rs
+++ b/crates/moleroad_dispatch/src/budget.rs
@@ -24,7 +24,7 @@
 struct Bucket {
     index: u64,
     requests: u64,
-    repeats: u64,
+    retries: u64,
 }
 
 /// Counts requests and retries of one service in a sliding window.
@@ -54,7 +54,7 @@
         if !self.has_room(now, entries) {
             return false;
         }
-        self.bucket(now).repeats += 1;
+        self.bucket(now).retries += 1;
         true
     }
 
@@ -62,17 +62,17 @@
     pub fn has_room(&mut self, now: Millis, entries: usize) -> bool {
         self.bucket(now);
         let requests: u64 = self.buckets.iter().map(|bucket| bucket.requests).sum();
-        let repeats: u64 = self.buckets.iter().map(|bucket| bucket.repeats).sum();
+        let retries: u64 = self.buckets.iter().map(|bucket| bucket.retries).sum();
         let slack_share = self.params.slack / entries.max(1) as f64;
         let allowed = USED_FRACTION * (self.params.ratio * requests as f64 + slack_share);
-        repeats as f64 + 1.0 <= allowed
+        retries as f64 + 1.0 <= allowed
     }
 
     fn bucket(&mut self, now: Millis) -> &mut Bucket {
         let index = now.0 / BUCKET_MS;
-        let kept = self.params.window_ms / BUCKET_MS;
+        let window_buckets = self.params.window_ms / BUCKET_MS;
         while let Some(first) = self.buckets.front()
-            && first.index + kept < index
+            && first.index + window_buckets < index
         {
             self.buckets.pop_front();
         }
--- a/crates/moleroad_dispatch/src/choice.rs
+++ b/crates/moleroad_dispatch/src/choice.rs
@@ -45,23 +45,23 @@
         .iter()
         .copied()
         .partition(|candidate| candidate.distance == Distance::OtherRegion);
-    let mut drawn = pick_random(near, COMPARED_PER_SCOPE, random);
-    drawn.extend(pick_random(far, COMPARED_PER_SCOPE, random));
-    drawn
+    let mut sampled = pick_random(near, COMPARED_PER_SCOPE, random);
+    sampled.extend(pick_random(far, COMPARED_PER_SCOPE, random));
+    sampled
 }
 
-fn pick_random(mut left: Vec<&Candidate>, count: usize, random: u64) -> Vec<&Candidate> {
+fn pick_random(mut remaining: Vec<&Candidate>, count: usize, random: u64) -> Vec<&Candidate> {
     let mut state = random;
-    let mut drawn = Vec::with_capacity(count);
-    while drawn.len() < count && !left.is_empty() {
+    let mut sampled = Vec::with_capacity(count);
+    while sampled.len() < count && !remaining.is_empty() {
         // Constants of a linear congruential generator (Knuth, MMIX).
         state = state
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1_442_695_040_888_963_407);
-        let at = (state >> 33) as usize % left.len();
-        drawn.push(left.swap_remove(at));
+        let at = (state >> 33) as usize % remaining.len();
+        sampled.push(remaining.swap_remove(at));
     }
-    drawn
+    sampled
 }
 
 impl Targets {
@@ -99,8 +99,8 @@
         let mut pool = self.pool(now, needs);
         pool.retain(|candidate| self.admission(now, candidate) == Admission::Grant);
         pool.retain(|candidate| self.has_free_slot(now, candidate, needs.reserved_slots));
-        let drawn = pick_random(pool, QUERIED_IN_REGION, random);
-        drawn.into_iter().cloned().collect()
+        let sampled = pick_random(pool, QUERIED_IN_REGION, random);
+        sampled.into_iter().cloned().collect()
     }
 
     /// Returns the healthy targets that meet `needs`; if none is healthy, all that meet
@@ -141,8 +141,8 @@
             (SearchScope::OwnRegion, true) => (far, 0, QUERIED_IN_REGION),
             (SearchScope::OtherRegions, true) => (far, QUERIED_IN_REGION, QUERIED_ELSEWHERE),
         };
-        let drawn = pick_random(pool, skipped + count, random);
-        drawn.into_iter().skip(skipped).cloned().collect()
+        let sampled = pick_random(pool, skipped + count, random);
+        sampled.into_iter().skip(skipped).cloned().collect()
     }
 
     /// Returns the cheapest of these targets that is still eligible, has a free slot
--- a/crates/moleroad_dispatch/src/cold.rs
+++ b/crates/moleroad_dispatch/src/cold.rs
@@ -53,9 +53,9 @@
     /// Returns until when the target counts as cold, and by which source.
     pub fn until(self) -> (Millis, ColdSource) {
         // A heartbeat that says the target is not cold overrides earlier assumptions.
-        let spoke_since = |at: Millis| self.left_ms == 0 && self.last_heartbeat > at;
+        let reported_warm_since = |at: Millis| self.left_ms == 0 && self.last_heartbeat > at;
         let assumed = |from: Millis| {
-            let is_over = spoke_since(from);
+            let is_over = reported_warm_since(from);
             if is_over {
                 Millis(0)
             } else {
--- a/crates/moleroad_dispatch/src/cost.rs
+++ b/crates/moleroad_dispatch/src/cost.rs
@@ -26,10 +26,15 @@
 const SHARED_LOAD_LIMIT: f64 = 0.7;
 
 impl Targets {
-    pub(crate) fn has_free_slot(&self, now: Millis, candidate: &Candidate, spare: u32) -> bool {
+    pub(crate) fn has_free_slot(
+        &self,
+        now: Millis,
+        candidate: &Candidate,
+        reserved_slots: u32,
+    ) -> bool {
         let load = self.load(&candidate.id);
         let requests = load.requests(now);
-        let slots = f64::from(candidate.slots.saturating_sub(spare));
+        let slots = f64::from(candidate.slots.saturating_sub(reserved_slots));
         if self.prefill.is_some() && load.is_current(now) {
             return load.own_in_flight() < candidate.max_own && requests + 1.0 <= slots;
         }
@@ -38,8 +43,8 @@
         let has_used_share =
             self.prefill.is_some() && load.unreported(now) >= candidate.share.max(1);
         let is_lightly_loaded = requests + 1.0 <= slots * SHARED_LOAD_LIMIT && !has_used_share;
-        let has_own = load.own_in_flight() < candidate.share && requests < slots;
-        load.own_in_flight() < candidate.max_own && (is_lightly_loaded || has_own)
+        let has_own_slot = load.own_in_flight() < candidate.share && requests < slots;
+        load.own_in_flight() < candidate.max_own && (is_lightly_loaded || has_own_slot)
     }
 
     pub(crate) fn meets_deadline(
@@ -48,15 +53,15 @@
         candidate: &Candidate,
         needs: Requirements<'_>,
     ) -> bool {
-        let (Some(first_event_within_ms), Some(reading)) =
+        let (Some(first_event_within_ms), Some(prefill)) =
             (needs.first_event_within_ms, self.prefill)
         else {
             return true;
         };
         let load = self.load(&candidate.id);
-        let unread = load.unread_tokens(now, reading.typical_prompt_tokens);
+        let unread_tokens = load.unread_tokens(now, prefill.typical_prompt_tokens);
         let own = needs.prompt_tokens as f64;
-        let first_event_ms = reading.first_event_ms(own, unread, load.requests(now));
+        let first_event_ms = prefill.first_event_ms(own, unread_tokens, load.requests(now));
         first_event_ms * self.slowness(now, candidate) <= first_event_within_ms as f64
     }
 
@@ -67,9 +72,9 @@
         let requests = load.requests(now);
         let busy = match self.prefill {
             None => BUSY_COST_MS * requests / slots,
-            Some(reading) => {
-                let unread = load.unread_tokens(now, reading.typical_prompt_tokens);
-                let first_ms = reading.first_event_ms(0.0, unread, requests);
+            Some(prefill) => {
+                let unread_tokens = load.unread_tokens(now, prefill.typical_prompt_tokens);
+                let first_ms = prefill.first_event_ms(0.0, unread_tokens, requests);
                 first_ms * self.slowness(now, candidate) + BUSY_ENGINE_COST_MS * requests / slots
             }
         };
@@ -83,10 +88,10 @@
     /// Returns whether the candidate is cheap enough to skip the search in other
     /// regions: at most one prompt of typical length is waiting there.
     pub fn is_good_enough(&self, now: Millis, candidate: &Candidate) -> bool {
-        let Some(reading) = self.prefill else {
+        let Some(prefill) = self.prefill else {
             return true;
         };
-        let one_prompt_ms = reading.first_event_ms(0.0, reading.typical_prompt_tokens, 1.0);
-        self.cost_ms(now, candidate) <= one_prompt_ms + BUSY_ENGINE_COST_MS
+        let typical_prompt_ms = prefill.first_event_ms(0.0, prefill.typical_prompt_tokens, 1.0);
+        self.cost_ms(now, candidate) <= typical_prompt_ms + BUSY_ENGINE_COST_MS
     }
 }
--- a/crates/moleroad_dispatch/src/eligibility.rs
+++ b/crates/moleroad_dispatch/src/eligibility.rs
@@ -32,7 +32,11 @@
     if candidate.evacuated {
         return Some(Exclusion::Evacuated);
     }
-    let is_older = |least| candidate.version.is_some_and(|version| version < least);
+    let is_older = |min_version| {
+        candidate
+            .version
+            .is_some_and(|version| version < min_version)
+    };
     if needs.min_version.is_some_and(is_older) {
         return Some(Exclusion::OldWeights);
     }
--- a/crates/moleroad_dispatch/src/prefill.rs
+++ b/crates/moleroad_dispatch/src/prefill.rs
@@ -27,9 +27,9 @@
             f64::INFINITY
         };
         let busy = running.min(1.0);
-        let under_way = (self.steps_ms + unread.min(per_pass) / rate) * busy / 2.0;
+        let current_pass_ms = (self.steps_ms + unread.min(per_pass) / rate) * busy / 2.0;
         let tokens = own + unread;
         let passes = (tokens / per_pass).ceil().max(1.0);
-        under_way + tokens / rate + passes * self.steps_ms
+        current_pass_ms + tokens / rate + passes * self.steps_ms
     }
 }
--- a/crates/moleroad_dispatch/src/queue.rs
+++ b/crates/moleroad_dispatch/src/queue.rs
@@ -71,9 +71,9 @@
     /// Returns the number of requests of a class that compete for every slot a request
     /// with these regions could use. Requests allowed in fewer regions are not counted,
     /// since they may be waiting for other slots.
-    pub fn count_ahead(&self, line: WaitClass, regions: &AllowedRegions) -> usize {
+    pub fn count_ahead(&self, class: WaitClass, regions: &AllowedRegions) -> usize {
         let is_ahead =
-            |waiter: &&Waiter| waiter.class == line && waiter.regions.is_superset(regions);
+            |waiter: &&Waiter| waiter.class == class && waiter.regions.is_superset(regions);
         self.waiters.iter().filter(is_ahead).count()
     }
 
--- a/crates/moleroad_dispatch/src/share.rs
+++ b/crates/moleroad_dispatch/src/share.rs
@@ -69,7 +69,7 @@
         let mut hasher = DefaultHasher::new();
         target.hash(&mut hasher);
         let start = (hasher.finish() % 10_000) as f64 / 10_000.0;
-        let reached = |part: f64| (start + f64::from(slots) * part).floor();
+        let reached = |fraction: f64| (start + f64::from(slots) * fraction).floor();
         (reached(end) - reached(begin)) as u32
     }
 }
--- a/crates/moleroad_dispatch/src/targets.rs
+++ b/crates/moleroad_dispatch/src/targets.rs
@@ -68,8 +68,8 @@
     /// Returns whether any target is eligible for a request with these requirements,
     /// now or once it has a free slot.
     pub fn any_eligible(&self, needs: Requirements<'_>) -> bool {
-        let serves = |candidate: &Candidate| exclusion(candidate, needs).is_none();
-        self.candidates.iter().any(serves)
+        let is_reachable = |candidate: &Candidate| exclusion(candidate, needs).is_none();
+        self.candidates.iter().any(is_reachable)
     }
 
     /// Returns when the first backoff ends if nothing but backoffs keeps a request with
@@ -104,11 +104,11 @@
 
     /// Returns whether any eligible target is reachable.
     pub fn any_reachable(&self, now: Millis, needs: Requirements<'_>) -> bool {
-        let serves = |candidate: &Candidate| {
-            let is_open = exclusion(candidate, needs).is_none();
-            is_open && !self.load(&candidate.id).health.is_unreachable(now)
+        let is_reachable = |candidate: &Candidate| {
+            let is_eligible = exclusion(candidate, needs).is_none();
+            is_eligible && !self.load(&candidate.id).health.is_unreachable(now)
         };
-        self.candidates.iter().any(serves)
+        self.candidates.iter().any(is_reachable)
     }
 
     /// Returns whether this target is eligible for a request with these requirements.
@@ -120,11 +120,12 @@
     /// Returns whether all targets in the allowed regions are in evacuated halls, so
     /// that waiting for a slot is pointless.
     pub fn all_evacuated(&self, needs: Requirements<'_>) -> bool {
-        let barriers = self.candidates.iter().map(|c| exclusion(c, needs));
-        let mut in_region = barriers
-            .filter(|b| *b != Some(Exclusion::Region))
+        let exclusions = self.candidates.iter().map(|c| exclusion(c, needs));
+        let mut in_region = exclusions
+            .filter(|exclusion| *exclusion != Some(Exclusion::Region))
             .peekable();
-        in_region.peek().is_some() && in_region.all(|b| b == Some(Exclusion::Evacuated))
+        in_region.peek().is_some()
+            && in_region.all(|exclusion| exclusion == Some(Exclusion::Evacuated))
     }
 
     /// Returns the current state of a target.
--- a/crates/moleroad_dispatch/tests/cold_admission.rs
+++ b/crates/moleroad_dispatch/tests/cold_admission.rs
@@ -45,15 +45,15 @@
 #[test]
 fn a_target_that_turned_cold_after_it_was_chosen_gets_nothing_without_a_grant() {
     let warm = target(None);
-    let turned = target(Some(cold(true, 0)));
+    let now_cold = target(Some(cold(true, 0)));
     let now = Millis(4_000);
     assert!(with(&warm).may_still_send(now, &warm));
-    assert!(!with(&turned).may_still_send(now, &warm));
-    assert!(!with(&turned).may_still_send(now, &turned));
-    assert!(with(&turned).may_still_send(now, &granted(&turned, 4_000)));
-    assert!(!with(&turned).may_still_send(now, &granted(&turned, 3_999)));
+    assert!(!with(&now_cold).may_still_send(now, &warm));
+    assert!(!with(&now_cold).may_still_send(now, &now_cold));
+    assert!(with(&now_cold).may_still_send(now, &granted(&now_cold, 4_000)));
+    assert!(!with(&now_cold).may_still_send(now, &granted(&now_cold, 3_999)));
     // It is no longer cold.
-    assert!(with(&turned).may_still_send(Millis(5_000), &warm));
+    assert!(with(&now_cold).may_still_send(Millis(5_000), &warm));
 }
 
 #[test]
--- a/crates/moleroad_dispatch/tests/dispatch.rs
+++ b/crates/moleroad_dispatch/tests/dispatch.rs
@@ -138,13 +138,13 @@
     assert!(health.failure_rate(Millis(30_000)) < 0.01);
 }
 
-fn waiter(id: u64, priority: u8, since: u64, wanted_by: u64) -> Waiter {
+fn waiter(id: u64, priority: u8, since: u64, latency_deadline: u64) -> Waiter {
     Waiter {
         class: WaitClass::InTime,
         id: WaiterId(id),
         priority,
         since: Millis(since),
-        latency_deadline: Millis(wanted_by),
+        latency_deadline: Millis(latency_deadline),
         expires_at: Millis(1_000),
         regions: AllowedRegions::all(),
     }
@@ -343,10 +343,10 @@
 
 #[test]
 fn a_target_that_has_just_become_free_is_not_rushed() {
-    let mut fresh = candidate("fresh", Distance::SameHall);
-    fresh.slots = 100;
-    fresh.max_own = 100;
-    fresh.share = 2;
+    let mut idle = candidate("fresh", Distance::SameHall);
+    idle.slots = 100;
+    idle.max_own = 100;
+    idle.share = 2;
     let mut targets = Targets::default();
     targets.prefill = Some(PrefillSpeed {
         tokens_per_ms: 30.0,
@@ -354,7 +354,7 @@
         steps_ms: 50.0,
         tokens_per_pass: 2_000.0,
     });
-    targets.set(vec![fresh]);
+    targets.set(vec![idle]);
     let id = TargetId::new("fresh");
     let takes = |targets: &Targets, now| {
         let choice = targets.choose(Millis(now), Requirements::default(), 0);
--- a/crates/moleroad_dispatch/tests/engines.rs
+++ b/crates/moleroad_dispatch/tests/engines.rs
@@ -44,7 +44,7 @@
 fn a_few_engines_of_one_reach_are_looked_at() {
     let targets = engines();
     assert!(targets.have_agents());
-    let mut seen = std::collections::BTreeSet::new();
+    let mut sampled = std::collections::BTreeSet::new();
     for random in 0..200_u64 {
         let random = random.wrapping_mul(0x9E37_79B9_7F4A_7C15);
         let near = targets.shortlist(
@@ -62,9 +62,9 @@
         assert_eq!((near.len(), far.len()), (3, 2));
         assert!(near.iter().all(|c| c.id.as_str().starts_with("near")));
         assert!(far.iter().all(|c| c.id.as_str().starts_with("far")));
-        seen.extend(near.into_iter().chain(far).map(|c| c.id));
+        sampled.extend(near.into_iter().chain(far).map(|c| c.id));
     }
-    assert_eq!(seen.len(), 10, "every engine is sampled");
+    assert_eq!(sampled.len(), 10, "every engine is sampled");
 }
 
 #[test]
@@ -88,17 +88,17 @@
 #[test]
 fn the_engine_with_the_fewest_unread_prompts_is_the_best() {
     let mut targets = engines();
-    let looked_at: Vec<Candidate> = (0..3)
+    let shortlisted: Vec<Candidate> = (0..3)
         .map(|index| engine(&format!("near-{index}"), Distance::SameHall))
         .collect();
-    for (candidate, queued) in looked_at.iter().zip([2, 0, 1]) {
+    for (candidate, queued) in shortlisted.iter().zip([2, 0, 1]) {
         targets.record_report(Millis(0), &candidate.id, 8, queued);
     }
-    let best = targets.best_of(Millis(1), Requirements::default(), &looked_at);
+    let best = targets.best_of(Millis(1), Requirements::default(), &shortlisted);
     let best = best.expect("slots are free");
     assert_eq!(best.id.as_str(), "near-1");
     assert!(targets.is_good_enough(Millis(1), &best));
-    assert!(!targets.is_good_enough(Millis(1), &looked_at[0]));
+    assert!(!targets.is_good_enough(Millis(1), &shortlisted[0]));
 }
 
 #[test]
@@ -151,8 +151,8 @@
 #[test]
 fn a_target_whose_agent_is_silent_is_not_taken_for_an_idle_one() {
     let mut targets = engines();
-    let looked_at = [0, 1].map(|index| engine(&format!("near-{index}"), Distance::SameHall));
-    let [silent, busy] = [&looked_at[0].id, &looked_at[1].id];
+    let shortlisted = [0, 1].map(|index| engine(&format!("near-{index}"), Distance::SameHall));
+    let [silent, busy] = [&shortlisted[0].id, &shortlisted[1].id];
     targets.record_report(Millis(0), silent, 4, 0);
     // Its report has expired, while an engine with some load answers.
     for at in [5_000, 5_300, 5_600] {
@@ -160,7 +160,7 @@
     }
     targets.record_report(Millis(5_600), busy, 8, 1);
     let best = |targets: &Targets| {
-        let best = targets.best_of(Millis(5_601), Requirements::default(), &looked_at);
+        let best = targets.best_of(Millis(5_601), Requirements::default(), &shortlisted);
         best.map(|candidate| candidate.id)
     };
     assert_eq!(best(&targets).as_ref(), Some(busy));
@@ -172,7 +172,7 @@
     );
     assert!(
         targets
-            .best_of(Millis(5_601), Requirements::default(), &looked_at[..1])
+            .best_of(Millis(5_601), Requirements::default(), &shortlisted[..1])
             .is_some(),
         "better than none"
     );
@@ -181,35 +181,35 @@
 #[test]
 fn a_target_out_of_reach_is_no_way_out_when_the_others_are_full() {
     let mut targets = engines();
-    let looked_at = [0, 1].map(|index| engine(&format!("near-{index}"), Distance::SameHall));
-    let [silent, full] = [&looked_at[0].id, &looked_at[1].id];
+    let shortlisted = [0, 1].map(|index| engine(&format!("near-{index}"), Distance::SameHall));
+    let [silent, full] = [&shortlisted[0].id, &shortlisted[1].id];
     targets.record_report(Millis(300), full, 16, 4);
-    let sent = |targets: &Targets, looked_at: &[Candidate]| {
-        let best = targets.best_of(Millis(301), Requirements::default(), looked_at);
+    let sent = |targets: &Targets, shortlisted: &[Candidate]| {
+        let best = targets.best_of(Millis(301), Requirements::default(), shortlisted);
         best.map(|candidate| candidate.id)
     };
     targets.agent_timed_out(Millis(0), silent);
     assert_eq!(
-        sent(&targets, &looked_at).as_ref(),
+        sent(&targets, &shortlisted).as_ref(),
         Some(silent),
         "one answer may be lost"
     );
     targets.agent_timed_out(Millis(10), silent);
     assert_eq!(
-        sent(&targets, &looked_at).as_ref(),
+        sent(&targets, &shortlisted).as_ref(),
         Some(silent),
         "concurrent timeouts count once"
     );
     targets.agent_timed_out(Millis(300), silent);
-    assert_eq!(sent(&targets, &looked_at), None);
+    assert_eq!(sent(&targets, &shortlisted), None);
     assert_eq!(
-        sent(&targets, &looked_at[..1]).as_ref(),
+        sent(&targets, &shortlisted[..1]).as_ref(),
         Some(silent),
         "all candidates are presumed unreachable"
     );
     targets.record_report(Millis(301), silent, 0, 0);
     assert_eq!(
-        sent(&targets, &looked_at).as_ref(),
+        sent(&targets, &shortlisted).as_ref(),
         Some(silent),
         "its agent answers again"
     );
@@ -219,38 +219,38 @@
 fn a_target_out_of_reach_is_drawn_again_when_its_agent_may_be_asked() {
     let mut targets = engines();
     let id = TargetId::new("near-0");
-    let is_drawn = |targets: &Targets, now| {
+    let is_sampled = |targets: &Targets, now| {
         (0..200).any(|random| {
-            let drawn = targets.shortlist(
+            let sampled = targets.shortlist(
                 Millis(now),
                 Requirements::default(),
                 SearchScope::OwnRegion,
                 random,
             );
-            drawn.iter().any(|candidate| candidate.id == id)
+            sampled.iter().any(|candidate| candidate.id == id)
         })
     };
     targets.agent_refused(Millis(0), &id);
     targets.agent_refused(Millis(300), &id);
-    assert!(is_drawn(&targets, 301), "its agent is being started");
+    assert!(is_sampled(&targets, 301), "its agent is being started");
     targets.agent_timed_out(Millis(600), &id);
-    assert!(is_drawn(&targets, 601));
+    assert!(is_sampled(&targets, 601));
     targets.agent_timed_out(Millis(900), &id);
-    assert!(!is_drawn(&targets, 901));
-    assert!(is_drawn(&targets, 1_200));
+    assert!(!is_sampled(&targets, 901));
+    assert!(is_sampled(&targets, 1_200));
 }
 
 #[test]
 fn a_target_whose_agent_nobody_asks_any_more_is_in_reach_again() {
     let mut targets = engines();
-    let looked_at = [0, 1].map(|index| engine(&format!("near-{index}"), Distance::SameHall));
-    let [silent, full] = [&looked_at[0].id, &looked_at[1].id];
+    let shortlisted = [0, 1].map(|index| engine(&format!("near-{index}"), Distance::SameHall));
+    let [silent, full] = [&shortlisted[0].id, &shortlisted[1].id];
     for at in [0, 300] {
         targets.agent_timed_out(Millis(at), silent);
     }
     let sent = |targets: &mut Targets, now| {
         targets.record_report(Millis(now), full, 16, 4);
-        let best = targets.best_of(Millis(now), Requirements::default(), &looked_at);
+        let best = targets.best_of(Millis(now), Requirements::default(), &shortlisted);
         best.map(|candidate| candidate.id)
     };
     assert_eq!(sent(&mut targets, 3_299), None);
--- a/crates/moleroad_dispatch/tests/residency.rs
+++ b/crates/moleroad_dispatch/tests/residency.rs
@@ -97,8 +97,8 @@
         .map(|(number, region)| target(number, region))
         .collect();
     // The longer-lasting reason is counted first.
-    for resting in [1, 2, 6] {
-        candidates[resting].backoff_until = Some(Millis(9));
+    for index in [1, 2, 6] {
+        candidates[index].backoff_until = Some(Millis(9));
     }
     candidates[1].evacuated = true;
     candidates[2].version = Some(1);
@@ -138,13 +138,13 @@
     let regions: Vec<&str> = (0..40).map(|number| REGIONS[number % 4]).collect();
     let targets = targets(&regions);
     let home = only(&["r1", "r2"]);
-    let ids = |needs, reach| -> Vec<TargetId> {
-        let drawn = targets.shortlist(Millis(1), needs, reach, 99);
-        drawn.into_iter().map(|candidate| candidate.id).collect()
+    let ids = |needs, scope| -> Vec<TargetId> {
+        let sampled = targets.shortlist(Millis(1), needs, scope, 99);
+        sampled.into_iter().map(|candidate| candidate.id).collect()
     };
-    for reach in [SearchScope::OwnRegion, SearchScope::OtherRegions] {
-        let any = ids(Requirements::default(), reach).len();
-        assert_eq!(ids(allowed_in(&home), reach).len(), any, "{reach:?}");
+    for scope in [SearchScope::OwnRegion, SearchScope::OtherRegions] {
+        let any = ids(Requirements::default(), scope).len();
+        assert_eq!(ids(allowed_in(&home), scope).len(), any, "{scope:?}");
     }
     let near = ids(allowed_in(&home), SearchScope::OwnRegion);
     let far = ids(allowed_in(&home), SearchScope::OtherRegions);
@@ -215,8 +215,8 @@
     if bits == 0 {
         return AllowedRegions::all();
     }
-    let named = REGIONS.iter().enumerate();
-    let chosen = named.filter(|(number, _)| bits & (1 << number) != 0);
+    let indexed = REGIONS.iter().enumerate();
+    let chosen = indexed.filter(|(number, _)| bits & (1 << number) != 0);
     AllowedRegions::only(chosen.map(|(_, name)| Region::new(*name)))
 }
 
@@ -227,7 +227,7 @@
     Send { random: u64 },
     /// The request is sent to the best of the targets whose agents are queried, after
     /// one of them was evacuated during the query.
-    Ask { random: u64, evacuated: usize },
+    QueryAgents { random: u64, evacuated: usize },
     /// A new configuration takes effect.
     Configuration { route: u8, account: u8 },
     /// A target fails and is avoided.
@@ -240,7 +240,7 @@
     prop_oneof![
         4 => any::<u64>().prop_map(|random| Event::Send { random }),
         4 => (any::<u64>(), 0..12usize)
-            .prop_map(|(random, evacuated)| Event::Ask { random, evacuated }),
+            .prop_map(|(random, evacuated)| Event::QueryAgents { random, evacuated }),
         2 => (0..16u8, 0..16u8)
             .prop_map(|(route, account)| Event::Configuration { route, account }),
         1 => (0..12usize).prop_map(Event::Fail),
@@ -260,22 +260,22 @@
     targets: &mut Targets,
     now: Millis,
     needs: Requirements<'_>,
-    how: &Event,
+    event: &Event,
 ) -> Option<Candidate> {
-    match how {
+    match event {
         Event::Send { random } => match targets.choose(now, needs, *random) {
             Choice::Send(candidate) => Some(candidate),
             Choice::Full | Choice::NoTarget => None,
         },
-        Event::Ask { random, evacuated } => {
-            let mut asked = targets.shortlist(now, needs, SearchScope::OwnRegion, *random);
-            asked.extend(targets.shortlist(now, needs, SearchScope::OtherRegions, *random));
+        Event::QueryAgents { random, evacuated } => {
+            let mut shortlisted = targets.shortlist(now, needs, SearchScope::OwnRegion, *random);
+            shortlisted.extend(targets.shortlist(now, needs, SearchScope::OtherRegions, *random));
             let mut changed = targets.candidates().to_vec();
             if let Some(candidate) = changed.get_mut(*evacuated) {
                 candidate.evacuated = true;
             }
             targets.set(changed);
-            targets.best_of(now, needs, &asked)
+            targets.best_of(now, needs, &shortlisted)
         }
         _ => None,
     }
@@ -310,13 +310,13 @@
                     tried.clear();
                     targets.set(directory_list(regions));
                 }
-                Event::Send { .. } | Event::Ask { .. } => {
+                Event::Send { .. } | Event::QueryAgents { .. } => {
                     let allowed = route.intersection(&account);
                     let needs = Requirements { tried: &tried, regions: Some(&allowed), ..Requirements::default() };
-                    let could = targets.any_eligible(needs);
+                    let was_eligible = targets.any_eligible(needs);
                     let sent = choose(&mut targets, now, needs, event);
                     if let Some(sent) = sent {
-                        prop_assert!(could);
+                        prop_assert!(was_eligible);
                         prop_assert!(route.contains(&sent.region));
                         prop_assert!(account.contains(&sent.region));
                         prop_assert!(!sent.evacuated && !tried.contains(&sent.id));
--- a/crates/moleroad_membership/tests/contacts.rs
+++ b/crates/moleroad_membership/tests/contacts.rs
@@ -35,14 +35,14 @@
     directory
 }
 
-fn contacts(directory: &Directory, own: &DaemonRecord, resting: &[SocketAddr]) -> Vec<Contact> {
-    let resting: HashSet<SocketAddr> = resting.iter().copied().collect();
+fn contacts(directory: &Directory, own: &DaemonRecord, backed_off: &[SocketAddr]) -> Vec<Contact> {
+    let backed_off: HashSet<SocketAddr> = backed_off.iter().copied().collect();
     let planner = ContactPlanner {
         now: Millis(1),
         directory,
         own,
         seeds: &[peer(100)],
-        backed_off: &resting,
+        backed_off: &backed_off,
         is_busy: true,
         lacks_configuration: false,
         is_starting_up: false,
@@ -93,8 +93,8 @@
 fn a_hall_is_asked_by_another_relay_when_the_one_whose_turn_it_is_does_not_answer() {
     let directory = three_halls();
     let relays = relays_of(&directory, "a");
-    let queries = |relay: &DaemonRecord, resting: &[SocketAddr]| {
-        remote_halls(&contacts(&directory, relay, resting)).contains(&2)
+    let queries = |relay: &DaemonRecord, backed_off: &[SocketAddr]| {
+        remote_halls(&contacts(&directory, relay, backed_off)).contains(&2)
     };
     let first = relays.iter().find(|relay| queries(relay, &[])).unwrap();
     let others = relays.iter().filter(|relay| relay.peer != first.peer);
--- a/crates/moleroad_quarantine/src/lib.rs
+++ b/crates/moleroad_quarantine/src/lib.rs
@@ -6,8 +6,7 @@
 //! collects which targets terminated while running it, as observed here and reported
 //! by other daemons, and decides when it is held; [`successes`] remembers requests that
 //! completed; [`holds`] is the state that the control group stores for a restart of
-//! all daemons,
-//! and [`reviews`] releases requests that were held by mistake.
+//! all daemons, and [`reviews`] releases requests that were held by mistake.
 //!
 //! ```
 //! use moleroad_directory::prelude::TargetId;
--- a/crates/moleroad_rollout/src/choice.rs
+++ b/crates/moleroad_rollout/src/choice.rs
@@ -138,9 +138,9 @@
     };
     let origin_sources = trees.allowed_sources(piece, conditions.timeouts, excess_ms);
     let may_retry = conditions.may_retry_origin(rank);
-    let takes_over = trees.is_in_origin_region() && conditions.should_take_over(&missing, rank);
+    let may_take_over = trees.is_in_origin_region() && conditions.should_take_over(&missing, rank);
     let is_due = conditions.scheduled_time_reached(piece) && may_retry;
-    if (origin_sources.from_origin || takes_over) && is_due && conditions.can_ask_origin {
+    if (origin_sources.from_origin || may_take_over) && is_due && conditions.can_ask_origin {
         return Some((SourceKind::Origin, rank));
     }
     None
@@ -183,9 +183,9 @@
     /// the first rank for a piece retry first, so that one copy leaves a recovered
     /// origin rather than one per agent.
     fn may_retry_origin(&self, rank: u32) -> bool {
-        let pause_ms = u64::from(rank) * ORIGIN_RETRY_STEP_MS;
+        let backoff_ms = u64::from(rank) * ORIGIN_RETRY_STEP_MS;
         self.origin_failed_ms
-            .is_none_or(|failed_ms| failed_ms >= pause_ms)
+            .is_none_or(|failed_ms| failed_ms >= backoff_ms)
     }
 
     /// Whether the next agent by rank should fetch the piece while the origin still
--- a/crates/moleroad_rollout/src/trees.rs
+++ b/crates/moleroad_rollout/src/trees.rs
@@ -103,7 +103,7 @@
     pub fn allowed_sources(
         &self,
         piece: u32,
-        patience: TakeoverTimeouts,
+        timeouts: TakeoverTimeouts,
         idle_ms: u64,
     ) -> AllowedSources {
         let Some(position) = self.position(piece) else {
@@ -112,16 +112,16 @@
                 from_origin: true,
             };
         };
-        let own_turn_ms = position.rank as u64 * patience.across_regions_ms;
+        let own_wait_ms = position.rank as u64 * timeouts.across_regions_ms;
         if position.is_first_region {
             AllowedSources {
-                across_regions: idle_ms >= own_turn_ms + patience.across_regions_ms,
-                from_origin: idle_ms >= own_turn_ms,
+                across_regions: idle_ms >= own_wait_ms + timeouts.across_regions_ms,
+                from_origin: idle_ms >= own_wait_ms,
             }
         } else {
             AllowedSources {
-                across_regions: idle_ms >= own_turn_ms,
-                from_origin: idle_ms >= own_turn_ms + patience.origin_ms,
+                across_regions: idle_ms >= own_wait_ms,
+                from_origin: idle_ms >= own_wait_ms + timeouts.origin_ms,
             }
         }
     }
--- a/crates/moleroad_rollout/tests/overtaking.rs
+++ b/crates/moleroad_rollout/tests/overtaking.rs
@@ -4,7 +4,7 @@
 
 /// 96 pieces, a tenth of them unreleased, a newer version announced, and the origin
 /// down for two seconds.
-fn stuck() -> SupersededFetch {
+fn stalled_fetch() -> SupersededFetch {
     SupersededFetch {
         pieces: 96,
         missing: 10,
@@ -21,20 +21,20 @@
 
 #[test]
 fn the_rest_of_a_copy_is_waited_for_while_the_origin_gives_nothing_newer() {
-    assert!(!stuck().should_abandon());
+    assert!(!stalled_fetch().should_abandon());
 }
 
 #[test]
 fn a_version_is_given_up_once_the_newer_one_comes() {
-    let comes = SupersededFetch {
+    let newer_available = SupersededFetch {
         newer_released: true,
-        ..stuck()
+        ..stalled_fetch()
     };
-    assert!(comes.should_abandon());
+    assert!(newer_available.should_abandon());
     // Not while its own pieces still arrive.
     let progress = SupersededFetch {
         idle_ms: 100,
-        ..comes
+        ..newer_available
     };
     assert!(!progress.should_abandon());
 }
@@ -43,28 +43,28 @@
 fn a_version_that_could_hardly_be_served_is_given_up() {
     let late = SupersededFetch {
         usable_ms: 1_500,
-        ..stuck()
+        ..stalled_fetch()
     };
     assert!(late.should_abandon());
 }
 
 #[test]
 fn a_version_whose_rest_stays_away_is_given_up_however_long_it_could_be_served() {
-    let away = SupersededFetch {
+    let stalled = SupersededFetch {
         idle_ms: 11_000,
         usable_ms: 3_600_000,
-        ..stuck()
+        ..stalled_fetch()
     };
-    assert!(away.should_abandon());
+    assert!(stalled.should_abandon());
 }
 
 #[test]
 fn a_version_that_the_origin_no_longer_has_is_given_up() {
-    let overtaken_twice = SupersededFetch {
+    let superseded_twice = SupersededFetch {
         newer: 2,
-        ..stuck()
+        ..stalled_fetch()
     };
-    assert!(overtaken_twice.should_abandon());
+    assert!(superseded_twice.should_abandon());
 }
 
 #[test]
@@ -73,7 +73,7 @@
         missing: 80,
         unreleased: 70,
         idle_ms: 0,
-        ..stuck()
+        ..stalled_fetch()
     };
     assert!(little.should_abandon());
     let newest = SupersededFetch { newer: 0, ..little };
--- a/crates/moleroad_rollout/tests/rollout.rs
+++ b/crates/moleroad_rollout/tests/rollout.rs
@@ -261,7 +261,7 @@
     // No agent knows the progress of the others; their pieces arrive at times that
     // differ by up to 0.4 s.
     for staged_ms in [2_000_u64, 2_900, 3_900] {
-        let begins_at = |own: &InstanceId, index: usize| {
+        let starts_at = |own: &InstanceId, index: usize| {
             let staged_ms = staged_ms + index as u64 * 20;
             let others = || names.iter().filter(|name| *name != own);
             (staged_ms..)
@@ -271,7 +271,7 @@
         let times: Vec<u64> = names
             .iter()
             .enumerate()
-            .map(|(index, own)| begins_at(own, index))
+            .map(|(index, own)| starts_at(own, index))
             .collect();
         assert!(times.iter().all(|at| *at <= plan.latest_start_ms));
         let changing = |at: u64| {
@@ -348,13 +348,13 @@
         let own = &member.instance;
         allowed_sources(own, &members, Some("south"), piece, timeouts, waited_ms).from_origin
     };
-    let stuck: Vec<u32> = (0..48)
+    let blocked: Vec<u32> = (0..48)
         .filter(|piece| dead.iter().any(|member| is_allowed(member, *piece, 0)))
         .collect();
-    assert!(!stuck.is_empty());
+    assert!(!blocked.is_empty());
     // All of them at the same time, not one after the other.
     let waited_ms = 4 * timeouts.across_regions_ms;
-    for piece in stuck {
+    for piece in blocked {
         assert!(
             alive
                 .iter()
