--- a/crates/moleroad_dispatch/src/backoff.rs
+++ b/crates/moleroad_dispatch/src/backoff.rs
@@ -60,8 +60,8 @@
     /// Returns whether it applies to the incarnation of `target` that started at
     /// `born_ms`. An incarnation that started before the answer is the one that sent
     /// it, even if its first heartbeat arrived later: an address has one incarnation at
-    /// a time. The wall clock may be wrong by seconds; then this daemon may back
-    /// off from a target that has just started, or fail to back off from one that asked.
+    /// a time. The wall clock may be wrong by seconds; then this daemon may back off
+    /// from a target that has just started, or fail to back off from one that asked.
     fn applies_to(&self, target: &TargetId, born_ms: u64) -> bool {
         let is_same_target = self.from.target == *target;
         if self.from.born_ms == 0 || born_ms == 0 {
--- a/crates/moleroad_dispatch/src/division.rs
+++ b/crates/moleroad_dispatch/src/division.rs
@@ -23,10 +23,10 @@
 /// How long a send that was counted against the quota may still start, in milliseconds:
 /// enough for a new connection to the target, as for a grant.
 pub const QUOTA_SEND_TTL_MS: u64 = GRANT_TTL_MS;
-/// Window in which an entry sends at most its quota, in milliseconds. A request that arrives
-/// within one second was sent in that second or up to [`MAX_DELAY_MS`] before it, and
-/// counted up to [`QUOTA_SEND_TTL_MS`] before it was sent. Two sends
-/// counted a window apart thus arrive at least one second apart.
+/// Window in which an entry sends at most its quota, in milliseconds. A request that
+/// arrives within a given second was sent in it or up to [`MAX_DELAY_MS`] before it,
+/// and counted up to [`QUOTA_SEND_TTL_MS`] before it was sent. Two sends counted a
+/// window apart thus arrive at least one second apart.
 pub const QUOTA_WINDOW_MS: u64 = 1_000 + QUOTA_SEND_TTL_MS + MAX_DELAY_MS;
 
 /// Number of send times kept per target: more than any quota, so that none is dropped
--- a/crates/moleroad_dispatch/src/rate_bound.rs
+++ b/crates/moleroad_dispatch/src/rate_bound.rs
@@ -13,7 +13,7 @@
 use moleroad_types::prelude::Millis;
 
 /// Lifetime of a grant, in milliseconds, counted at the entry from the time of its
-/// query: covers the way of the answer and a new connection to the target.
+/// query: covers the transit of the answer and a new connection to the target.
 pub const GRANT_TTL_MS: u64 = 150;
 /// Maximum network delay of a request that the calculation allows for, in milliseconds:
 /// a congested link between two regions.
--- a/crates/moleroad_quarantine/tests/suspects.rs
+++ b/crates/moleroad_quarantine/tests/suspects.rs
@@ -253,7 +253,7 @@
 fn one_request_alone_at_all_ends_is_in_no_doubt() {
     let mut suspects = Suspects::default();
     hold(&mut suspects, START, 1, [1, 2, 3]);
-    // Requests that ran beside it once are no other explanation.
+    // Other requests, each on only one of these targets, are no other explanation.
     for life in 1..=3 {
         suspects.record(START, termination(request(10 + life as u8), life));
     }
