--- a/crates/moleroad_membership/src/contacts.rs
+++ b/crates/moleroad_membership/src/contacts.rs
@@ -82,7 +82,7 @@
     pub backed_off: &'a HashSet<SocketAddr>,
     /// Whether this daemon has requests in flight.
     pub is_busy: bool,
-    /// Whether no configuration is in force yet.
+    /// Whether no configuration is active yet.
     pub lacks_configuration: bool,
     /// Whether this daemon started recently.
     pub is_starting_up: bool,
--- a/crates/moleroad_rollout/src/old_weights.rs
+++ b/crates/moleroad_rollout/src/old_weights.rs
@@ -4,7 +4,7 @@
 
 /// Time before the deadline of a version after which a request in a target's queue must
 /// not start any more, in milliseconds: covers the delay of the version announcement
-/// and the way of the request to the target.
+/// and the transit of the request to the target.
 const START_MARGIN_MS: u64 = 150;
 /// Fraction, as a divisor, of a version's deadline that must remain for a request to an
 /// engine with older weights whose agent does not answer: the request may be delayed on
@@ -20,11 +20,11 @@
 }
 
 impl OldWeightsCutoff {
-    /// Computes the cutoff for a newer version that was announced at `named_at` and is
-    /// due `version_ms` later.
-    pub fn new(named_at: Millis, version_ms: u64) -> Self {
+    /// Computes the cutoff for a newer version that was announced at `announced_at` and
+    /// is due `version_ms` later.
+    pub fn new(announced_at: Millis, version_ms: u64) -> Self {
         Self {
-            last_start: named_at + version_ms.saturating_sub(START_MARGIN_MS),
+            last_start: announced_at + version_ms.saturating_sub(START_MARGIN_MS),
             version_ms,
         }
     }
--- a/crates/moleroad_rollout/src/sources.rs
+++ b/crates/moleroad_rollout/src/sources.rs
@@ -2,7 +2,7 @@
 
 use moleroad_types::prelude::InstanceId;
 
-/// An agent that takes part.
+/// An agent that takes part in a rollout.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
     /// Instance of the agent.
@@ -26,8 +26,9 @@
     /// Time without a new piece after which the next agent of the region takes over
     /// from the one before it, in milliseconds.
     pub across_regions_ms: u64,
-    /// Time without a new piece, in addition to its turn, after which an agent outside
-    /// the origin's region fetches pieces from the origin, in milliseconds.
+    /// Time without a new piece, in addition to the wait for its rank, after which an
+    /// agent outside the origin's region fetches pieces from the origin, in
+    /// milliseconds.
     pub origin_ms: u64,
 }
 
