--- a/crates/moleroad_dispatch/src/admission.rs
+++ b/crates/moleroad_dispatch/src/admission.rs
@@ -1,4 +1,4 @@
-//! Admission of requests to targets that may be cold or that have named a rate limit.
+//! Admission of requests to targets that may be cold or that have advertised a rate limit.
 
 use crate::candidate::{Candidate, Requirements};
 use crate::cold::Admission;
@@ -60,37 +60,37 @@
 
     /// Returns whether a send to a previously chosen target may still start. Checks
     /// against the current state: the grant or quota reservation has not expired, and a
-    /// target that turned cold or named a limit since it was chosen has one.
+    /// target that turned cold or advertised a limit since it was chosen has one.
     pub fn may_still_send(&self, now: Millis, chosen: &Candidate) -> bool {
         // `None`: it was chosen without a grant or a quota reservation.
-        let in_time = chosen.granted_until.map(|until| now <= until);
+        let unexpired = chosen.granted_until.map(|until| now <= until);
         let Some(known) = self.candidate(&chosen.id) else {
             return false;
         };
-        if in_time == Some(false) {
+        if unexpired == Some(false) {
             return false;
         }
         if !self.is_rate_limited(now, known) {
             return true;
         }
-        if in_time.is_none() || (known.limit.is_some() && chosen.limit.is_none()) {
+        if unexpired.is_none() || (known.limit.is_some() && chosen.limit.is_none()) {
             return false;
         }
         if self.cold_until(now, known).is_none() {
             return true;
         }
-        let is_by_grant =
+        let needs_agent_grant =
             |candidate: &Candidate| candidate.cold.as_deref().map(|cold| cold.requires_grant);
         // The quota is not checked again: this send already counts against it.
-        let is_open = match known.cold.as_deref() {
+        let is_admitted = match known.cold.as_deref() {
             Some(cold) if !cold.requires_grant => cold.quota > 0 && now >= cold.quota_from,
             _ => self.admission(now, known) == Admission::Grant,
         };
-        is_by_grant(chosen) == is_by_grant(known) && is_open
+        needs_agent_grant(chosen) == needs_agent_grant(known) && is_admitted
     }
 
     /// Returns whether the target's request rate is limited now, because it is cold or
-    /// has named a limit.
+    /// has advertised a limit.
     pub fn is_rate_limited(&self, now: Millis, candidate: &Candidate) -> bool {
         self.current_rate_limit(now, candidate).is_some()
     }
@@ -101,11 +101,11 @@
         let cold = candidate.cold.as_deref();
         let cold = cold.filter(|_| self.cold_until(now, candidate).is_some());
         let while_cold = cold.map(|cold| cold.bound.requests_per_s);
-        let named = candidate
+        let advertised = candidate
             .limit
             .as_deref()
             .map(|limit| limit_bucket_params(limit.rate).per_s);
-        [while_cold, named]
+        [while_cold, advertised]
             .into_iter()
             .flatten()
             .min_by(f64::total_cmp)
--- a/crates/moleroad_dispatch/src/share.rs
+++ b/crates/moleroad_dispatch/src/share.rs
@@ -42,16 +42,16 @@
         let demand = |entry: &EntryDemand<'_>| entry.requests_per_s.max(min_demand);
         let total: f64 = entries.iter().map(demand).sum();
         let mut reached = 0.0;
-        let mut found = None;
+        let mut own_range = None;
         for entry in &entries {
             let next = reached + demand(entry);
             if entry.entry == own {
-                found = Some((reached / total, next / total));
+                own_range = Some((reached / total, next / total));
             }
             reached = next;
         }
         Self {
-            own_range: found,
+            own_range,
             is_shared: entries.len() >= 2,
         }
     }
@@ -69,7 +69,7 @@
         let mut hasher = DefaultHasher::new();
         target.hash(&mut hasher);
         let start = (hasher.finish() % 10_000) as f64 / 10_000.0;
-        let reached = |part: f64| (start + f64::from(slots) * part).floor();
+        let reached = |fraction: f64| (start + f64::from(slots) * fraction).floor();
         (reached(end) - reached(begin)) as u32
     }
 }
--- a/crates/moleroad_dispatch/tests/cold_admission.rs
+++ b/crates/moleroad_dispatch/tests/cold_admission.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 /// A bound that holds until 5,000 ms.
-fn cold(requires_grant: bool, part: u32) -> ColdTarget {
+fn cold(requires_grant: bool, quota: u32) -> ColdTarget {
     ColdTarget {
         bound: RateBound::new(15.0, 1.5, 5.0),
         until: Millis(5_000),
@@ -16,7 +16,7 @@
         reported_until: Millis(5_000),
         cold_duration_ms: 3_000,
         requires_grant,
-        quota: part,
+        quota,
         quota_from: Millis(0),
     }
 }
@@ -45,15 +45,15 @@
 #[test]
 fn a_target_that_turned_cold_after_it_was_chosen_gets_nothing_without_a_grant() {
     let warm = target(None);
-    let turned = target(Some(cold(true, 0)));
+    let now_cold = target(Some(cold(true, 0)));
     let now = Millis(4_000);
     assert!(with(&warm).may_still_send(now, &warm));
-    assert!(!with(&turned).may_still_send(now, &warm));
-    assert!(!with(&turned).may_still_send(now, &turned));
-    assert!(with(&turned).may_still_send(now, &granted(&turned, 4_000)));
-    assert!(!with(&turned).may_still_send(now, &granted(&turned, 3_999)));
+    assert!(!with(&now_cold).may_still_send(now, &warm));
+    assert!(!with(&now_cold).may_still_send(now, &now_cold));
+    assert!(with(&now_cold).may_still_send(now, &granted(&now_cold, 4_000)));
+    assert!(!with(&now_cold).may_still_send(now, &granted(&now_cold, 3_999)));
     // It is no longer cold.
-    assert!(with(&turned).may_still_send(Millis(5_000), &warm));
+    assert!(with(&now_cold).may_still_send(Millis(5_000), &warm));
 }
 
 #[test]
@@ -92,18 +92,18 @@
 /// to the agent at 2,000 ms, for a target whose hall returned to service at 1,000 ms
 /// and that reported `left_ms` before that.
 fn passed_on_after_restore(left_ms: u64) -> (ColdSource, u64) {
-    let news = ColdEvidence {
+    let evidence = ColdEvidence {
         cold_duration_ms: 3_000,
         first_heard: Millis(0),
         last_heartbeat: Millis(900),
         left_ms,
         restored: Some(Millis(1_000)),
     };
-    let (until, source) = news.until();
+    let (until, source) = evidence.until();
     let target = ColdTarget {
         until,
         source,
-        reported_until: news.reported_until(),
+        reported_until: evidence.reported_until(),
         ..cold(true, 0)
     };
     assert_eq!(until, Millis(4_000));
--- a/crates/moleroad_membership/src/contacts.rs
+++ b/crates/moleroad_membership/src/contacts.rs
@@ -82,7 +82,7 @@
     pub backed_off: &'a HashSet<SocketAddr>,
     /// Whether this daemon has requests in flight.
     pub is_busy: bool,
-    /// Whether no configuration is in force yet.
+    /// Whether no configuration is active yet.
     pub lacks_configuration: bool,
     /// Whether this daemon started recently.
     pub is_starting_up: bool,
@@ -262,8 +262,8 @@
         let seeds = self.seeds.iter().copied().filter(|seed| !known(seed));
         let probed: Vec<SocketAddr> = silent.chain(seeds).collect();
         // Each probe interval selects the next address.
-        let turn = (self.now.0 / PROBE_INTERVAL_MS) as usize;
-        let address = probed.get(turn % probed.len().max(1))?;
+        let probe_round = (self.now.0 / PROBE_INTERVAL_MS) as usize;
+        let address = probed.get(probe_round % probed.len().max(1))?;
         Some(self.pull_contact(*address, Scope::All, PROBE_INTERVAL_MS))
     }
 
--- a/crates/moleroad_rollout/tests/overtaking.rs
+++ b/crates/moleroad_rollout/tests/overtaking.rs
@@ -4,7 +4,7 @@
 
 /// 96 pieces, a tenth of them unreleased, a newer version announced, and the origin
 /// down for two seconds.
-fn stuck() -> SupersededFetch {
+fn stalled_fetch() -> SupersededFetch {
     SupersededFetch {
         pieces: 96,
         missing: 10,
@@ -21,20 +21,20 @@
 
 #[test]
 fn missing_pieces_are_awaited_while_the_origin_has_nothing_newer() {
-    assert!(!stuck().should_abandon());
+    assert!(!stalled_fetch().should_abandon());
 }
 
 #[test]
 fn a_version_is_abandoned_once_a_newer_one_arrives() {
-    let comes = SupersededFetch {
+    let newer_available = SupersededFetch {
         newer_released: true,
-        ..stuck()
+        ..stalled_fetch()
     };
-    assert!(comes.should_abandon());
+    assert!(newer_available.should_abandon());
     // Not while its own pieces still arrive.
     let progress = SupersededFetch {
         idle_ms: 100,
-        ..comes
+        ..newer_available
     };
     assert!(!progress.should_abandon());
 }
@@ -43,28 +43,28 @@
 fn a_version_with_too_little_serving_time_left_is_abandoned() {
     let late = SupersededFetch {
         usable_ms: 1_500,
-        ..stuck()
+        ..stalled_fetch()
     };
     assert!(late.should_abandon());
 }
 
 #[test]
 fn a_version_whose_missing_pieces_never_arrive_is_abandoned() {
-    let away = SupersededFetch {
+    let stalled = SupersededFetch {
         idle_ms: 11_000,
         usable_ms: 3_600_000,
-        ..stuck()
+        ..stalled_fetch()
     };
-    assert!(away.should_abandon());
+    assert!(stalled.should_abandon());
 }
 
 #[test]
 fn a_version_the_origin_no_longer_has_is_abandoned() {
-    let overtaken_twice = SupersededFetch {
+    let superseded_twice = SupersededFetch {
         newer: 2,
-        ..stuck()
+        ..stalled_fetch()
     };
-    assert!(overtaken_twice.should_abandon());
+    assert!(superseded_twice.should_abandon());
 }
 
 #[test]
@@ -73,7 +73,7 @@
         missing: 80,
         unreleased: 70,
         idle_ms: 0,
-        ..stuck()
+        ..stalled_fetch()
     };
     assert!(little.should_abandon());
     let newest = SupersededFetch { newer: 0, ..little };
