--- a/crates/moleroad_config/src/check.rs
+++ b/crates/moleroad_config/src/check.rs
@@ -14,7 +14,7 @@
         }
         /// A route refers to a service that is not listed.
         UnknownService(route: String, service: String) {
-            display("MR-6102 route {} refers to the unknown service {}", route, service)
+            display("MR-6102 route {} names the unknown service {}", route, service)
         }
         /// Two routes have the same host and prefix.
         DuplicateRoute(host: String, prefix: String) {
@@ -22,11 +22,11 @@
         }
         /// The weights of a route sum to 0.
         ZeroWeight(route: String) {
-            display("MR-6104 the weights of route {} sum to 0", route)
+            display("MR-6104 the weights of route {} add up to 0", route)
         }
         /// The timeout of a route is 0.
         ZeroTimeout(route: String) {
-            display("MR-6105 the timeout of route {} is 0", route)
+            display("MR-6105 the time-out of route {} is 0", route)
         }
         /// A key belongs to two accounts.
         DuplicateKey(first: String, second: String) {
--- a/crates/moleroad_gateway/src/control_state.rs
+++ b/crates/moleroad_gateway/src/control_state.rs
@@ -72,7 +72,7 @@
             .read_to_end(&mut bytes)
             .map_err(|error| ConfigurationError::Unreadable(error.to_string()))?;
         if bytes.len() > MAX_DOCUMENT_BYTES {
-            let reason = "it exceeds the largest size that a call may carry";
+            let reason = "it is larger than a call may bring";
             return Err(ConfigurationError::Unreadable(reason.into()));
         }
         Ok(bytes)
--- a/crates/moleroad_gateway/src/front/stream.rs
+++ b/crates/moleroad_gateway/src/front/stream.rs
@@ -316,10 +316,7 @@
     /// Aborts the answer so that the caller does not take it as complete.
     async fn abort(self, reason: &str) {
         self.log_end(reason);
-        let broken = io::Error::new(
-            io::ErrorKind::ConnectionAborted,
-            "the stream ended before it was complete",
-        );
+        let broken = io::Error::new(io::ErrorKind::ConnectionAborted, "stream broke off");
         let _ = self.parts.send(Err(broken)).await;
     }
 
